--- a/src/routing/placement_queue.cc
+++ b/src/routing/placement_queue.cc
@@ -14,27 +14,29 @@
 
 namespace asio = boost::asio;
 
-/// While something waits, places are looked for this often: loads that were reported grow old, and
-/// ejections end, without anything happening here.
-constexpr Duration kWatchInterval = std::chrono::milliseconds(20);
-
-/// Online work waits so long for a place that comes free by itself before batch work gives one up,
-/// and so long again before it is asked once more.
-constexpr Duration kYieldAfter = std::chrono::milliseconds(20);
-constexpr Duration kYieldAgain = std::chrono::milliseconds(100);
-/// A batch item that was asked has ended by then: it is asked once more after `kYieldAgain`.
-constexpr Duration kLongestYield = 2 * kYieldAgain;
-/// Part of a runner's places that batch leaves free just after online work had to wait, and the
-/// time in which that falls to nothing.
-constexpr double kBurstMargin = 0.4;
-constexpr Duration kBurstMemory = std::chrono::milliseconds(400);
-
-/// What cannot be served is also looked for at each change, but not more often than this.
-constexpr Duration kReviewPause = std::chrono::milliseconds(2);
+/// Interval at which placement is retried while requests wait. Reported loads age out and ejections
+/// end without an event at this node.
+constexpr Duration kPollInterval = std::chrono::milliseconds(20);
+
+/// Online work waits this long for a slot to come free by itself before batch work is asked to
+/// yield one, and then `kRepeatedYieldDelay` before it is asked again.
+constexpr Duration kFirstYieldDelay = std::chrono::milliseconds(20);
+constexpr Duration kRepeatedYieldDelay = std::chrono::milliseconds(100);
+/// Upper bound on the time until an asked batch item has ended: the request to yield is repeated
+/// once, after `kRepeatedYieldDelay`.
+constexpr Duration kMaxYieldTime = 2 * kRepeatedYieldDelay;
+/// Fraction of a runner's slots that batch keeps free right after online work had to wait, and the
+/// time over which this reserve decays linearly to zero.
+constexpr double kBurstReserve = 0.4;
+constexpr Duration kBurstReserveDecay = std::chrono::milliseconds(400);
+
+/// Requests that can no longer be served are also looked for at each change of capacity, at most
+/// once in this interval.
+constexpr Duration kMinReviewInterval = std::chrono::milliseconds(2);
 
 }  // namespace
 
-bool PlacementQueue::goes_before(const PlacementTicket& left, const PlacementTicket& right) {
+bool PlacementQueue::precedes(const PlacementTicket& left, const PlacementTicket& right) {
   const auto rank = [](const PlacementTicket& ticket) {
     const PlacementRequest& request = ticket.request_;
     const bool newcomer = request.standing == AdmissionStanding::kNewcomer;
@@ -44,32 +46,32 @@
   return rank(left) < rank(right);
 }
 
-bool PlacementQueue::MoreUrgent::operator()(const std::shared_ptr<PlacementTicket>& left,
-                                            const std::shared_ptr<PlacementTicket>& right) const {
-  return goes_before(*left, *right);
+bool PlacementQueue::ByUrgency::operator()(const std::shared_ptr<PlacementTicket>& left,
+                                           const std::shared_ptr<PlacementTicket>& right) const {
+  return precedes(*left, *right);
 }
 
 PlacementQueue::PlacementQueue(asio::any_io_executor executor, const RunnerRegistry& registry)
     : executor_(std::move(executor)),
       registry_(registry),
-      watch_timer_(executor_),
+      poll_timer_(executor_),
       review_timer_(executor_) {}
 
 std::shared_ptr<PlacementTicket> PlacementQueue::make_ticket(PlacementRequest request) {
-  if (decisions_.turn) request.turn = decisions_.turn(request, monotonic_now());
+  if (policy_.turn) request.turn = policy_.turn(request, monotonic_now());
   auto ticket = std::make_shared<PlacementTicket>(executor_, std::move(request));
   ticket->number_ = next_number_++;
   return ticket;
 }
 
-/// A burst of online work that has just found no place is not over when the first places are free:
-/// batch items that took them would be ended again after their prompts were read.
-double PlacementQueue::batch_margin(const std::string& service, TimePoint now) {
-  const double expected = decisions_.batch_leaves ? decisions_.batch_leaves(service, now) : 0;
+/// The first free slots do not mean that a burst of online work has ended: batch items that took
+/// them would be preempted again after their prompts had been processed.
+double PlacementQueue::batch_reserve(const std::string& service, TimePoint now) {
+  const double expected = policy_.batch_leaves ? policy_.batch_leaves(service, now) : 0;
   const auto found = last_demand_.find(service);
   if (found == last_demand_.end()) return expected;
-  const double part = to_seconds(now - found->second) / to_seconds(kBurstMemory);
-  return std::max(expected, kBurstMargin * std::clamp(1.0 - part, 0.0, 1.0));
+  const double part = to_seconds(now - found->second) / to_seconds(kBurstReserveDecay);
+  return std::max(expected, kBurstReserve * std::clamp(1.0 - part, 0.0, 1.0));
 }
 
 bool PlacementQueue::try_place(PlacementTicket& ticket, TimePoint now) {
@@ -82,8 +84,8 @@
       last_demand_[wanted.service] = now;
       return false;
     }
-    const double margin = batch_margin(wanted.service, now);
-    // No limit is another thing than a limit of which nothing is left.
+    const double margin = batch_reserve(wanted.service, now);
+    // A `load_limit` of zero means "no limit", so an exhausted limit must return here.
     if (wanted.load_limit > 0 && margin >= wanted.load_limit) return false;
     wanted.load_limit -= margin;
   }
@@ -94,23 +96,24 @@
   return true;
 }
 
-/// The ticket's runner was chosen.
+/// Starts the attempt at the selected runner.
 void PlacementQueue::begin(const PlacementTicket& ticket, TimePoint now) {
   const Selection& selection = ticket.selection_;
   selection.runner->begin_attempt(selection.tokens_to_read, ticket.request_.work);
-  if (decisions_.placed) decisions_.placed(ticket.request_, now);
+  if (policy_.placed) policy_.placed(ticket.request_, now);
   if (use_listener_) use_listener_();
 }
 
-/// One that may run once only cannot be taken back from a runner's queue and sent elsewhere: it
-/// goes there only if its first event is in time also after the longest wait for a batch item.
+/// A request that may run only once cannot be withdrawn from a runner's queue and sent elsewhere.
+/// It goes to a full runner only if its first event is on time even after the longest wait for a
+/// batch item to end.
 bool PlacementQueue::may_queue_at_runner(const PlacementRequest& request, TimePoint now) const {
   if (!request.runs_once || request.last_use == TimePoint{}) return true;
-  return now + kLongestYield + request.first_event < request.last_use;
+  return now + kMaxYieldTime + request.first_event < request.last_use;
 }
 
-/// Online work takes the slot of a batch item without waiting for it to come free: the request
-/// waits in the runner's own queue for the moment that the item takes to end.
+/// Online work preempts a batch item without waiting for its slot: the request waits in the
+/// runner's own queue for the short time that the item takes to end.
 bool PlacementQueue::preempt(PlacementTicket& ticket, SelectionRequest wanted, TimePoint now) {
   const bool allowed = ticket.request_.work == WorkClass::kOnline && yield_handler_;
   if (!allowed || ticket.selection_.failure != SelectionFailure::kAllBusy) return false;
@@ -131,23 +134,23 @@
   const TimePoint now = monotonic_now();
   const PlacementRequest& request = ticket->request_;
   const bool leaves_slot =
-      yields(request) && registry_.peers_wait_urgently_for(request.selection.service);
+      yields_slots(request) && registry_.peers_wait_urgently_for(request.selection.service);
   const bool may_overtake =
       !leaves_slot && (waiting_.empty() || request.work == WorkClass::kOnline);
   if (may_overtake && try_place(*ticket, now)) co_return ticket->selection_.runner;
   if (is_online(request) && reviews()) {
-    const QueuePosition position = position_of(*ticket, now);
+    const QueuePosition position = queue_position(*ticket, now);
     if (reject(*ticket, position, now)) {
-      note_left(*ticket);
+      notify_unplaced(*ticket);
       co_return nullptr;
     }
-    if (decisions_.waits) decisions_.waits(request, position, now);
-    watch_reviews();
+    if (policy_.waits) policy_.waits(request, position, now);
+    schedule_review();
   }
   waiting_.insert(ticket);
-  ticket->ask_yield_at_ = now + kYieldAfter;
-  watch();
-  // Slots of other zones are asked for at once, not when the others hear of it next.
+  ticket->next_yield_request_ = now + kFirstYieldDelay;
+  schedule_poll();
+  // Slots of other zones are requested at once instead of with the next periodic report.
   if (use_listener_ && registry_.lending()) use_listener_();
   ticket->timer_.expires_after(std::max(Duration{0}, ticket->request_.give_up - now));
   auto& runner = ticket->selection_.runner;
@@ -155,10 +158,10 @@
     co_await ticket->timer_.async_wait(asio::as_tuple(asio::use_awaitable));
   }
   waiting_.erase(ticket);
-  // Its time to wait is over: the rejection says why, and when to come back.
+  // The wait has timed out: the rejection carries the reason and the time to retry.
   if (!runner && !ticket->cancelled_ && is_online(ticket->request_) && reviews()) {
     const TimePoint end = monotonic_now();
-    reject(*ticket, position_of(*ticket, end), end);
+    reject(*ticket, queue_position(*ticket, end), end);
   }
   if (runner && ticket->cancelled_) {
     runner->end_attempt(AttemptOutcome::kAbandoned, monotonic_now(),
@@ -166,7 +169,7 @@
     runner.reset();
     capacity_changed();
   } else if (!runner) {
-    note_left(*ticket);
+    notify_unplaced(*ticket);
   }
   co_return runner;
 }
@@ -179,7 +182,7 @@
 void PlacementQueue::loads_changed() {
   if (waiting_.empty()) return;
   dispatch();
-  if (monotonic_now() - last_review_ >= kReviewPause) reject_hopeless();
+  if (monotonic_now() - last_review_ >= kMinReviewInterval) reject_unservable();
 }
 
 void PlacementQueue::drop_hopeless() {
@@ -189,30 +192,29 @@
   }
 }
 
-void PlacementQueue::note_left(const PlacementTicket& ticket) const {
-  if (decisions_.left) decisions_.left(ticket.request_, monotonic_now());
+void PlacementQueue::notify_unplaced(const PlacementTicket& ticket) const {
+  if (policy_.left) policy_.left(ticket.request_, monotonic_now());
 }
 
-bool PlacementQueue::yields(const PlacementRequest& request) const {
-  if (decisions_.yields && decisions_.yields(request)) return true;
+bool PlacementQueue::yields_slots(const PlacementRequest& request) const {
+  if (policy_.yields && policy_.yields(request)) return true;
   const bool newcomer = request.standing == AdmissionStanding::kNewcomer;
-  return newcomer && is_online(request) && decisions_.returns_due &&
-         decisions_.may_leave_to_returned && decisions_.may_leave_to_returned(request) &&
-         decisions_.returns_due(request.selection.service);
+  return newcomer && is_online(request) && policy_.returns_due && policy_.may_leave_to_returned &&
+         policy_.may_leave_to_returned(request) && policy_.returns_due(request.selection.service);
 }
 
-/// Rejects a request that is certain not to be served in its time.
+/// Rejects a request that is certain to miss its deadline.
 bool PlacementQueue::reject(PlacementTicket& ticket, const QueuePosition& position, TimePoint now) {
-  if (!decisions_.review) return false;
-  ticket.rejection_ = decisions_.review(ticket.request_, position, now);
+  if (!policy_.review) return false;
+  ticket.rejection_ = policy_.review(ticket.request_, position, now);
   if (!ticket.rejection_) return false;
-  // It no longer waits, but wanted a slot: batch is to take none of the zone for a moment.
+  // It no longer waits, but its demand was not met: batch takes no slot of the zone for a moment.
   last_demand_[ticket.request_.selection.service] = now;
   preempted_at_[ticket.request_.selection.service] = now;
   return true;
 }
 
-void PlacementQueue::reject_hopeless() {
+void PlacementQueue::reject_unservable() {
   if (!reviews()) return;
   const TimePoint now = monotonic_now();
   last_review_ = now;
@@ -222,45 +224,46 @@
   }
 }
 
-void PlacementQueue::watch_reviews() {
-  if (watching_reviews_) return;
-  watching_reviews_ = true;
+void PlacementQueue::schedule_review() {
+  if (review_scheduled_) return;
+  review_scheduled_ = true;
   review_timer_.expires_after(kReviewInterval);
   review_timer_.async_wait([this](boost::system::error_code error) {
-    watching_reviews_ = false;
+    review_scheduled_ = false;
     if (error || !reviews() || waiting(WorkClass::kOnline) == 0) return;
-    reject_hopeless();
-    watch_reviews();
+    reject_unservable();
+    schedule_review();
   });
 }
 
 void PlacementQueue::dispatch() {
   if (dispatching_) return;
   dispatching_ = true;
-  // What can still be in time goes first: a late answer is worth less, however long it has waited.
+  // Requests that can still be on time go first, however long the others have waited: a late
+  // response is worth less.
   const auto in_time = can_be_in_time;
   const auto online = is_online;
-  dispatch_some([&](const PlacementRequest& request, TimePoint now) {
-    return online(request) && in_time(request, now) && !yields(request);
+  dispatch_matching([&](const PlacementRequest& request, TimePoint now) {
+    return online(request) && in_time(request, now) && !yields_slots(request);
   });
-  // Slots of the zone go to such work of any node before they go to other work of this one.
-  dispatch_some([&](const PlacementRequest& request, TimePoint now) {
-    return online(request) && in_time(request, now) && yields(request) &&
+  // Slots of the zone go to non-yielding requests of any node before other requests of this node.
+  dispatch_matching([&](const PlacementRequest& request, TimePoint now) {
+    return online(request) && in_time(request, now) && yields_slots(request) &&
            !registry_.peers_wait_urgently_for(request.selection.service);
   });
-  dispatch_some([&](const PlacementRequest& request, TimePoint) {
+  dispatch_matching([&](const PlacementRequest& request, TimePoint) {
     return online(request) && !registry_.peers_wait_in_time_for(request.selection.service);
   });
-  dispatch_some([&](const PlacementRequest& request, TimePoint now) {
+  dispatch_matching([&](const PlacementRequest& request, TimePoint now) {
     return !online(request) && in_time(request, now);
   });
-  dispatch_some([&](const PlacementRequest& request, TimePoint) { return !online(request); });
+  dispatch_matching([&](const PlacementRequest& request, TimePoint) { return !online(request); });
   dispatching_ = false;
 }
 
-void PlacementQueue::dispatch_some(const Filter& filter) {
+void PlacementQueue::dispatch_matching(const Filter& filter) {
   const TimePoint now = monotonic_now();
-  // Once a service has no place for one, it has none for those behind it of the same class.
+  // Once a service has no slot for a request, it has none for later requests of the same class.
   std::set<std::pair<std::string, WorkClass>> full;
   std::vector<std::shared_ptr<PlacementTicket>> placed;
   for (const auto& ticket : waiting_) {
@@ -278,19 +281,19 @@
   }
 }
 
-void PlacementQueue::ask_for_places() {
+void PlacementQueue::request_batch_yields() {
   if (!yield_handler_) return;
   const TimePoint now = monotonic_now();
   for (const auto& ticket : waiting_) {
-    if (ticket->request_.work != WorkClass::kOnline || now < ticket->ask_yield_at_) continue;
-    ticket->ask_yield_at_ = now + kYieldAgain;
+    if (ticket->request_.work != WorkClass::kOnline || now < ticket->next_yield_request_) continue;
+    ticket->next_yield_request_ = now + kRepeatedYieldDelay;
     last_demand_[ticket->request_.selection.service] = now;
     yield_handler_(ticket->request_.selection.service, nullptr);
   }
 }
 
-/// Each node chooses from digests that are some 10 ms old, so that now and then more of them choose
-/// a runner than it has places. The runner's own queue knows no priorities.
+/// Nodes select runners from digests that are some 10 ms old, so occasionally more of them select a
+/// runner than it has slots. The runner's own queue has no priorities.
 bool PlacementQueue::relieve(const Runner& runner) {
   if (!yield_handler_ || !runner.overcommitted()) return false;
   last_demand_[runner.record().service] = monotonic_now();
@@ -299,21 +302,21 @@
 }
 
 Duration PlacementQueue::yield_delay(bool again) {
-  return again ? kYieldAgain : kYieldAfter;
+  return again ? kRepeatedYieldDelay : kFirstYieldDelay;
 }
 
-void PlacementQueue::watch() {
-  if (watching_) return;
-  watching_ = true;
-  watch_timer_.expires_after(kWatchInterval);
-  watch_timer_.async_wait([this](boost::system::error_code error) {
-    watching_ = false;
+void PlacementQueue::schedule_poll() {
+  if (poll_scheduled_) return;
+  poll_scheduled_ = true;
+  poll_timer_.expires_after(kPollInterval);
+  poll_timer_.async_wait([this](boost::system::error_code error) {
+    poll_scheduled_ = false;
     if (error || waiting_.empty()) return;
     dispatch();
-    ask_for_places();
-    // The other nodes leave the places to online work only while they hear that some waits.
+    request_batch_yields();
+    // Other nodes leave slots to online work only while reports say that some is waiting.
     if (use_listener_ && waiting(WorkClass::kOnline) > 0) use_listener_();
-    if (!waiting_.empty()) watch();
+    if (!waiting_.empty()) schedule_poll();
   });
 }
 
--- a/src/routing/placement_queue.h
+++ b/src/routing/placement_queue.h
@@ -1,8 +1,9 @@
 /// @file
-/// Admission: gives each attempt a place at a runner, or lets it wait here, ordered by urgency.
+/// Priority queue for requests that need a runner slot.
 ///
-/// Runners serve in the order of arrival and know no priorities, so work that would wait at a full
-/// runner waits at the gateway instead, where what is urgent can overtake.
+/// Runners serve requests in order of arrival and have no notion of priority. A request that would
+/// have to wait at a full runner is therefore held in the gateway, where more urgent requests can
+/// overtake it.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -26,82 +27,83 @@
 
 namespace stoathold {
 
-/// What waits for a place.
+/// A request for a runner slot and the constraints on its placement.
 struct PlacementRequest {
   SelectionRequest selection;
   WorkClass work = WorkClass::kOnline;
   std::uint32_t priority = 0;  ///< 0 is the most urgent.
-  TimePoint due{};             ///< In time if placed by then.
-  TimePoint give_up{};         ///< No longer worth placing.
+  TimePoint due{};             ///< Placed before this time, the request is on time.
+  TimePoint give_up{};         ///< The queue drops the request after this time.
   std::string tenant;          ///< Empty: anonymous.
   std::string route;
-  TimePoint last_use{};     ///< A first event after this finds its caller gone; 0: not known.
-  Duration slot_time{0};    ///< For which it is predicted to hold a slot; 0: not known.
-  bool runs_once = false;   ///< It may not be sent to another runner once it may have run.
-  double turn = 0;          ///< Lower goes first inside a priority; set by the turns' source.
-  TimePoint arrival{};      ///< When it came to this node.
-  TimePoint deadline{};     ///< Until which its caller waits or tries again; 0: not known.
-  Duration first_event{0};  ///< Usual time from its slot to its first event; 0: not known.
-  TimePoint last_start{};   ///< It is not placed later: its caller would be gone; 0: no bound.
-  /// Inside a turn, those that were told to come back go before newcomers.
+  TimePoint last_use{};  ///< Latest useful first event; the caller is gone after it; zero: unknown.
+  Duration slot_time{0};   ///< Predicted time for which it holds a slot; 0: unknown.
+  bool runs_once = false;  ///< It may not be sent to another runner once one may have run it.
+  double turn = 0;  ///< Fair-share rank within a priority, lower first; set by `PlacementPolicy`.
+  TimePoint arrival{};      ///< Arrival at this node.
+  TimePoint deadline{};     ///< The caller waits or retries until then; zero: unknown.
+  Duration first_event{0};  ///< Typical time from slot to first event; 0: unknown.
+  TimePoint last_start{};   ///< Latest start at which the caller is still there; zero: unbounded.
+  /// Among requests of equal rank, callers that return after a rejection precede newcomers.
   AdmissionStanding standing = AdmissionStanding::kNewcomer;
-  /// Whether it must not be placed any more, as its circumstances have changed; null: never.
+  /// Returns whether a change of circumstances has made the placement pointless; null: never.
   std::function<bool()> hopeless;
 };
 
-/// Whether a request is online work.
 inline bool is_online(const PlacementRequest& request) {
   return request.work == WorkClass::kOnline;
 }
-/// Whether a request is in time if it is placed now.
+/// Returns whether a request is on time if it is placed now.
 inline bool can_be_in_time(const PlacementRequest& request, TimePoint now) {
   return now < request.due;
 }
 
-/// Decisions of other modules that the queue asks for; each may be null. They outlive the queue.
+/// Callbacks through which other modules decide about queued requests and observe them. Each may be
+/// null. Whatever a callback refers to must outlive the queue.
 struct PlacementDecisions {
-  /// Returns the request's turn inside its priority, when it comes.
+  /// Returns the fair-share rank of an arriving request within its priority.
   std::function<double(const PlacementRequest& request, TimePoint now)> turn;
-  /// A request was given a slot.
+  /// Called when a request has been assigned a slot.
   std::function<void(const PlacementRequest& request, TimePoint now)> placed;
-  /// A request left without a slot.
+  /// Called when a request leaves the queue without a slot.
   std::function<void(const PlacementRequest& request, TimePoint now)> left;
-  /// Returns whether an online request that can be in time leaves slots to such requests of other
-  /// nodes that don't.
+  /// Returns whether an on-time online request leaves slots to those on-time requests of other
+  /// nodes that do not yield.
   std::function<bool(const PlacementRequest& request)> yields;
-  /// Returns whether callers that were promised a slot are expected now: newcomers of the least
-  /// urgent online work leave slots to them, at whatever node they come.
+  /// Returns whether callers that were promised a slot are expected to return about now. Newcomers
+  /// of the lowest online priority then leave slots to them, at whichever node they return.
   std::function<bool(const std::string& service)> returns_due;
-  /// Returns whether such a newcomer may: no online work of its service is less urgent, and no
-  /// tenant's share hangs on who leaves slots to whom.
+  /// Returns whether such a newcomer may yield: its service has no online requests of lower
+  /// priority, and no tenant's share depends on who yields to whom.
   std::function<bool(const PlacementRequest& request)> may_leave_to_returned;
-  /// Returns the part of a runner's places that batch leaves free for callers that come back.
+  /// Returns the fraction of a runner's slots that batch keeps free for returning callers.
   std::function<double(const std::string& service, TimePoint now)> batch_leaves;
-  /// Whether requests that wait are reviewed now.
+  /// Returns whether waiting requests are currently checked for rejection.
   std::function<bool()> reviews;
-  /// Returns the rejection of an online request that found no slot, or nothing if it may wait on.
+  /// Returns the rejection of an online request that found no slot, or nothing if it may keep
+  /// waiting.
   std::function<std::optional<PlacementRejection>(const PlacementRequest& request,
                                                   const QueuePosition& position, TimePoint now)>
       review;
-  /// An online request that came found no slot and begins to wait.
+  /// Called when an arriving online request found no slot and starts to wait.
   std::function<void(const PlacementRequest& request, const QueuePosition& position, TimePoint now)>
       waits;
 };
 
-/// A request for a place. Held by who waits; `cancel` ends the wait.
+/// Handle of one request in the queue, owned by the waiting caller. `cancel` ends the wait.
 class PlacementTicket {
  public:
   PlacementTicket(const boost::asio::any_io_executor& executor, PlacementRequest request)
       : request_(std::move(request)), timer_(executor) {}
 
-  /// Ends the wait without a place; harmless if it is over.
+  /// Ends the wait without a slot. Does nothing if the wait is over.
   void cancel() {
     cancelled_ = true;
     timer_.cancel();
   }
-  /// The place that was found, and what decided it; no runner if there is none.
+  /// The assigned runner and the inputs of the decision; no runner if none was found.
   [[nodiscard]] const Selection& selection() const { return selection_; }
-  /// Why it was rejected while it waited; nothing if it was not.
+  /// Why the request was rejected while it waited; empty if it was not.
   [[nodiscard]] const std::optional<PlacementRejection>& rejection() const { return rejection_; }
 
  private:
@@ -110,113 +112,117 @@
   Timer timer_;
   Selection selection_;
   std::optional<PlacementRejection> rejection_;
-  TimePoint ask_yield_at_{};
+  TimePoint next_yield_request_{};
   std::uint64_t number_ = 0;
   bool cancelled_ = false;
 };
 
-/// While online work waits, what cannot be served is looked for this often: callers are to know
-/// 10 ms after it has become certain.
+/// Period of the check for queued online requests that can no longer be served. Callers are to be
+/// rejected within 10 ms of the moment when that becomes certain.
 inline constexpr Duration kReviewInterval = std::chrono::milliseconds(5);
 
-/// All that wait on this node. Used on one thread.
+/// The requests that wait for a slot on this node. Used on one thread.
 class PlacementQueue {
  public:
-  /// Called when online work waits for a service whose runners are full: batch work there may give
-  /// a place back, at this node or at another. Called once for each place that is needed.
-  /// @param runner where; null: at any runner of the service in this zone.
+  /// Asks batch work to give up one slot, at this node or another. Called once for each slot needed
+  /// when online requests wait for a service whose runners are full.
+  /// @param runner where the slot is needed; null: any runner of the service in this zone.
   using YieldHandler = std::function<void(const std::string& service, const Runner* runner)>;
 
   PlacementQueue(boost::asio::any_io_executor executor, const RunnerRegistry& registry);
 
   void set_yield_handler(YieldHandler handler) { yield_handler_ = std::move(handler); }
-  /// Each part sets its own of the decisions.
-  [[nodiscard]] PlacementDecisions& decisions() { return decisions_; }
+  /// Returns the callbacks; each module sets its own.
+  [[nodiscard]] PlacementDecisions& decisions() { return policy_; }
 
   std::shared_ptr<PlacementTicket> make_ticket(PlacementRequest request);
-  /// Waits for a place.
-  /// @return the runner, with an attempt begun; null if the wait was given up or cancelled.
+  /// Waits for a slot.
+  /// @return the runner, with an attempt begun; null if the wait timed out or was rejected or
+  ///         cancelled.
   boost::asio::awaitable<std::shared_ptr<Runner>> acquire(std::shared_ptr<PlacementTicket> ticket);
-  /// A place may have become free, or was taken.
+  /// Must be called when a slot was taken or may have become free.
   void capacity_changed();
-  /// Ends the wait of all that must not be placed any more.
+  /// Ends the wait of all requests whose `is_obsolete` returns true.
   void drop_hopeless();
-  /// Other nodes reported their use of runners: a place may have become free.
+  /// Must be called when other nodes have reported their use of runners: a slot may have become
+  /// free.
   void loads_changed();
-  /// Online work that was sent to the runner has had no answer for `yield_delay`: batch work there
-  /// gives a place back if the runner has more requests than places.
-  /// @return whether it was asked to.
+  /// Asks batch work at a runner to give up a slot if the runner has more requests than slots.
+  /// Called when an online request sent there has had no response for `yield_delay`.
+  /// @return whether batch work was asked.
   bool relieve(const Runner& runner);
-  /// How long online work waits before batch work gives a place back, and before another does.
+  /// Returns how long online work waits before batch work is asked for a slot, or for a further
+  /// one.
   static Duration yield_delay(bool again);
-  /// Called whenever this node's use of a runner changes.
+  /// Sets a listener that is called whenever this node's use of a runner changes.
   void set_use_listener(std::function<void()> listener) { use_listener_ = std::move(listener); }
-  /// Returns how many wait.
+  /// Returns the number of waiting requests of a class.
   [[nodiscard]] std::size_t waiting(WorkClass work) const;
-  /// Returns the online work that waits, in the order in which it is placed.
+  /// Returns the waiting online requests in the order of their placement.
   [[nodiscard]] std::vector<WaitingWork> online_work(TimePoint now) const;
-  /// Returns the online work that waits and can be in time.
+  /// Returns the amount of waiting online work that can still be on time.
   [[nodiscard]] std::map<ZoneBacklog::Group, QueuedWork> waiting_in_time(TimePoint now) const;
-  /// Online requests that wait for a service, for operators.
+  /// Statistics of the online requests that wait for a service, for operators.
   struct ServiceWait {
     std::uint32_t waiting = 0;
-    std::uint32_t in_time = 0;   ///< Those that can still be in time.
-    std::uint32_t returned = 0;  ///< Those that were told to come back.
-    Duration oldest{0};          ///< The longest wait.
+    std::uint32_t in_time = 0;   ///< Those that can still be on time.
+    std::uint32_t returned = 0;  ///< Those that return after a rejection.
+    Duration oldest{0};          ///< Longest wait.
   };
   [[nodiscard]] std::map<std::string, ServiceWait> online_waits(TimePoint now) const;
-  /// Calls back for each online request that waits for the service, in the queue's order.
+  /// Called for each online request that waits for the service, in queue order.
   using Visitor = std::function<void(const PlacementRequest&, const QueuePosition&)>;
   void visit_online(const std::string& service, const Visitor& visitor, TimePoint now) const;
-  /// Returns the online work that waits, and that which had to wait just now.
+  /// Returns the demand by service: waiting online work, and services where online work recently
+  /// had to preempt batch work or was rejected.
   [[nodiscard]] std::vector<ServiceDemand> online_demand() const;
 
  private:
-  struct MoreUrgent {
+  struct ByUrgency {
     bool operator()(const std::shared_ptr<PlacementTicket>& left,
                     const std::shared_ptr<PlacementTicket>& right) const;
   };
 
-  static bool goes_before(const PlacementTicket& left, const PlacementTicket& right);
+  static bool precedes(const PlacementTicket& left, const PlacementTicket& right);
   bool try_place(PlacementTicket& ticket, TimePoint now);
   bool preempt(PlacementTicket& ticket, SelectionRequest wanted, TimePoint now);
   void begin(const PlacementTicket& ticket, TimePoint now);
   [[nodiscard]] bool may_queue_at_runner(const PlacementRequest& request, TimePoint now) const;
   bool reject(PlacementTicket& ticket, const QueuePosition& position, TimePoint now);
-  [[nodiscard]] bool reviews() const { return decisions_.reviews && decisions_.reviews(); }
+  [[nodiscard]] bool reviews() const { return policy_.reviews && policy_.reviews(); }
   struct WaitingTicket {
     std::shared_ptr<PlacementTicket> ticket;
     QueuePosition position;
   };
   [[nodiscard]] std::vector<WaitingTicket> online_positions(TimePoint now) const;
-  [[nodiscard]] QueuePosition position_of(const PlacementTicket& ticket, TimePoint now) const;
-  void watch_reviews();
-  void note_left(const PlacementTicket& ticket) const;
-  [[nodiscard]] bool yields(const PlacementRequest& request) const;
-  [[nodiscard]] double batch_margin(const std::string& service, TimePoint now);
+  [[nodiscard]] QueuePosition queue_position(const PlacementTicket& ticket, TimePoint now) const;
+  void schedule_review();
+  void notify_unplaced(const PlacementTicket& ticket) const;
+  [[nodiscard]] bool yields_slots(const PlacementRequest& request) const;
+  [[nodiscard]] double batch_reserve(const std::string& service, TimePoint now);
   using Filter = std::function<bool(const PlacementRequest&, TimePoint now)>;
 
   void dispatch();
-  void dispatch_some(const Filter& filter);
-  void ask_for_places();
-  void reject_hopeless();
-  void watch();
+  void dispatch_matching(const Filter& filter);
+  void request_batch_yields();
+  void reject_unservable();
+  void schedule_poll();
 
   boost::asio::any_io_executor executor_;
   const RunnerRegistry& registry_;
   YieldHandler yield_handler_;
-  PlacementDecisions decisions_;
+  PlacementDecisions policy_;
   std::function<void()> use_listener_;
-  std::set<std::shared_ptr<PlacementTicket>, MoreUrgent> waiting_;
-  /// When online work last waited for a service, at this node or another of the zone.
+  std::set<std::shared_ptr<PlacementTicket>, ByUrgency> waiting_;
+  /// Time of the last unmet online demand for a service, at this node or another of the zone.
   std::map<std::string, TimePoint> last_demand_;
-  /// When online work of this node last made batch work yield, or was rejected.
+  /// Time at which online work of this node last preempted batch work or was rejected.
   std::map<std::string, TimePoint> preempted_at_;
   std::uint64_t next_number_ = 0;
-  Timer watch_timer_;
+  Timer poll_timer_;
   Timer review_timer_;
-  bool watching_ = false;
-  bool watching_reviews_ = false;
+  bool poll_scheduled_ = false;
+  bool review_scheduled_ = false;
   TimePoint last_review_{};
   bool dispatching_ = false;
 };
--- a/src/routing/placement_queue_views.cc
+++ b/src/routing/placement_queue_views.cc
@@ -1,4 +1,4 @@
-// What waits in the placement queue, as others see it: reports, reviews and operators.
+// Views of the placement queue for load reports, rejection reviews and operators.
 #include <algorithm>
 
 #include "base/ids.h"
@@ -8,7 +8,7 @@
 namespace stoathold {
 namespace {
 
-ZoneBacklog::Group group_of(const PlacementRequest& request) {
+ZoneBacklog::Group backlog_group(const PlacementRequest& request) {
   return {stable_hash(request.selection.service), saturated<std::uint8_t>(request.priority)};
 }
 
@@ -27,7 +27,7 @@
     const PlacementRequest& request = ticket->request_;
     if (!is_online(request)) continue;
     ServiceDemand& demand = waiting[request.selection.service];
-    if (can_be_in_time(request, now)) ++(yields(request) ? demand.yielding : demand.waiting);
+    if (can_be_in_time(request, now)) ++(yields_slots(request) ? demand.yielding : demand.waiting);
   }
   for (const auto& [service, time] : preempted_at_) {
     if (now - time < kDemandShown) waiting.try_emplace(service);
@@ -50,7 +50,7 @@
   return work;
 }
 
-/// In the queue's order.
+/// Returns the waiting online requests, with their positions, in queue order.
 std::vector<PlacementQueue::WaitingTicket> PlacementQueue::online_positions(TimePoint now) const {
   std::map<ZoneBacklog::Group, QueuedWork> totals = waiting_in_time(now);
   std::map<std::uint64_t, QueuedWork> ahead;
@@ -58,7 +58,7 @@
   for (const auto& ticket : waiting_) {
     const PlacementRequest& request = ticket->request_;
     if (!is_online(request)) break;
-    const ZoneBacklog::Group group = group_of(request);
+    const ZoneBacklog::Group group = backlog_group(request);
     QueuePosition position;
     for (auto total = totals.lower_bound({group.service, 0});
          total != totals.end() && !(group < total->first); ++total) {
@@ -72,8 +72,8 @@
   return positions;
 }
 
-/// The ticket need not wait yet.
-QueuePosition PlacementQueue::position_of(const PlacementTicket& ticket, TimePoint now) const {
+/// Returns the position of a ticket that need not be in the queue yet.
+QueuePosition PlacementQueue::queue_position(const PlacementTicket& ticket, TimePoint now) const {
   const PlacementRequest& own = ticket.request_;
   QueuePosition position;
   const auto count = [](QueuedWork& work, const PlacementRequest& request) {
@@ -85,7 +85,7 @@
     if (other->cancelled_ || request.selection.service != own.selection.service) continue;
     if (other.get() == &ticket || !can_be_in_time(request, now)) continue;
     count(position.all, request);
-    if (goes_before(*other, ticket)) count(position.ahead, request);
+    if (precedes(*other, ticket)) count(position.ahead, request);
   }
   if (can_be_in_time(own, now)) {
     count(position.all, own);
@@ -100,7 +100,7 @@
   for (const auto& ticket : waiting_) {
     const PlacementRequest& request = ticket->request_;
     if (!is_online(request) || ticket->cancelled_ || !can_be_in_time(request, now)) continue;
-    work[group_of(request)] += {1, request.slot_time};
+    work[backlog_group(request)] += {1, request.slot_time};
   }
   return work;
 }
--- a/tests/routing/placement_queue_test.cc
+++ b/tests/routing/placement_queue_test.cc
@@ -42,7 +42,7 @@
     loop.restart();
     loop.poll();
   }
-  void free_place() {
+  void free_slot() {
     registry.all().at("r1")->end_attempt(AttemptOutcome::kServed, monotonic_now());
     queue.capacity_changed();
     run();
@@ -54,19 +54,19 @@
   std::vector<std::string> order;
 };
 
-TEST_F(PlacementQueueTest, TheMostUrgentGetsTheNextPlace) {
+TEST_F(PlacementQueueTest, NextSlotGoesToMostUrgentRequest) {
   wait("first", make_request(WorkClass::kOnline));
   wait("batch", make_request(WorkClass::kBatch));
   wait("low", make_request(WorkClass::kOnline, 2));
   wait("high", make_request(WorkClass::kOnline, 0));
   EXPECT_EQ(order, (std::vector<std::string>{"first"}));
-  free_place();
-  free_place();
-  free_place();
+  free_slot();
+  free_slot();
+  free_slot();
   EXPECT_EQ(order, (std::vector<std::string>{"first", "high", "low", "batch"}));
 }
 
-TEST_F(PlacementQueueTest, WhatCanStillBeInTimeOvertakesWhatCannot) {
+TEST_F(PlacementQueueTest, OnTimeRequestsOvertakeLateOnes) {
   wait("first", make_request(WorkClass::kOnline));
   PlacementRequest late = make_request(WorkClass::kOnline);
   late.due = monotonic_now() - std::chrono::seconds(1);
@@ -74,12 +74,12 @@
   PlacementRequest in_time = make_request(WorkClass::kOnline);
   in_time.due = monotonic_now() + std::chrono::seconds(20);
   wait("in time", in_time);
-  free_place();
-  free_place();
+  free_slot();
+  free_slot();
   EXPECT_EQ(order, (std::vector<std::string>{"first", "in time", "late"}));
 }
 
-TEST_F(PlacementQueueTest, BatchThatCanBeInTimeOvertakesBatchThatCannot) {
+TEST_F(PlacementQueueTest, OnTimeBatchItemsOvertakeLateOnes) {
   wait("first", make_request(WorkClass::kOnline));
   PlacementRequest late = make_request(WorkClass::kBatch);
   late.due = monotonic_now() - std::chrono::seconds(5);
@@ -90,17 +90,17 @@
   PlacementRequest late_online = make_request(WorkClass::kOnline);
   late_online.due = monotonic_now() - std::chrono::seconds(1);
   wait("late online", late_online);
-  for (int i = 0; i < 3; ++i) free_place();
+  for (int i = 0; i < 3; ++i) free_slot();
   EXPECT_EQ(order, (std::vector<std::string>{"first", "late online", "in time", "late"}));
 }
 
-TEST_F(PlacementQueueTest, LateWorkLeavesSlotsToWorkOfOtherNodesThatCanBeInTime) {
+TEST_F(PlacementQueueTest, LateRequestsYieldToOnTimeRequestsOfOtherNodes) {
   wait("first", make_request(WorkClass::kOnline));
   PlacementRequest late = make_request(WorkClass::kOnline);
   late.due = monotonic_now() - std::chrono::seconds(1);
   wait("late", late);
   registry.set_peer_urgent_demand({stable_hash("chat")});
-  free_place();
+  free_slot();
   EXPECT_EQ(order, (std::vector<std::string>{"first"}));
   registry.set_peer_urgent_demand({});
   queue.loads_changed();
@@ -108,7 +108,7 @@
   EXPECT_EQ(order, (std::vector<std::string>{"first", "late"}));
 }
 
-TEST_F(PlacementQueueTest, OnlineWorkThatWaitsAsksBatchToYield) {
+TEST_F(PlacementQueueTest, WaitingOnlineRequestAsksBatchToYield) {
   std::vector<std::string> asked;
   queue.set_yield_handler(
       [&](const std::string& service, const Runner*) { asked.push_back(service); });
@@ -121,8 +121,9 @@
   EXPECT_EQ(asked, (std::vector<std::string>{"chat"}));
 }
 
-// Online work once waited 20 ms before batch work was asked for a slot, and 100 ms before another.
-TEST_F(PlacementQueueTest, OnlineWorkTakesABatchSlotAtOnce) {
+// Guards against a delay before preemption: online work waited 20 ms before batch work was asked
+// for a slot, and 100 ms before it was asked for another.
+TEST_F(PlacementQueueTest, OnlineRequestPreemptsBatchItemImmediately) {
   std::vector<const Runner*> asked;
   queue.set_yield_handler(
       [&](const std::string&, const Runner* runner) { asked.push_back(runner); });
@@ -130,19 +131,19 @@
   wait("online", make_request(WorkClass::kOnline));
   EXPECT_EQ(order, (std::vector<std::string>{"batch", "online"}));
   EXPECT_EQ(asked, (std::vector<const Runner*>{registry.all().at("r1").get()}));
-  // The others are told, so that their batch work stays out for a moment.
+  // Demand is reported to the other nodes, so that their batch work takes no slot for a moment.
   ASSERT_EQ(queue.online_demand().size(), 1U);
   EXPECT_EQ(queue.online_demand()[0].waiting, 0U);
-  // The one batch item can make room once: the next request waits.
+  // The only batch item can be preempted only once: the next request waits.
   registry.all().at("r1")->begin_yield();
   wait("next", make_request(WorkClass::kOnline));
   EXPECT_EQ(order.size(), 2U);
   registry.all().at("r1")->end_yield();
 }
 
-// One that may run once only stays at the runner that has it. At a zone of four times its arrivals
-// such requests waited behind others in a runner's own queue until their callers' deadline.
-TEST_F(PlacementQueueTest, WhatRunsOnceIsNotPlacedWhereItWouldWaitUntilItsTimeIsUp) {
+// A request that may run only once cannot leave the runner that has it. At four times the usual
+// arrivals of a zone, such requests waited in a runner's own queue until their callers' deadline.
+TEST_F(PlacementQueueTest, RunOnceRequestIsNotQueuedAtRunnerPastItsDeadline) {
   queue.set_yield_handler([](const std::string&, const Runner*) {});
   wait("batch", make_request(WorkClass::kBatch));
   PlacementRequest once = make_request(WorkClass::kOnline);
@@ -156,8 +157,8 @@
   EXPECT_EQ(order, (std::vector<std::string>{"batch", "once, with time"}));
 }
 
-// A rejected request no longer waits, so that batch took the slot that came free next.
-TEST_F(PlacementQueueTest, BatchStaysOutWhereOnlineWorkWasJustRejected) {
+// Guards against batch taking the next free slot because a rejected request no longer waits.
+TEST_F(PlacementQueueTest, BatchTakesNoSlotRightAfterOnlineRejection) {
   queue.decisions().reviews = [] { return true; };
   queue.decisions().review = [](const PlacementRequest&, const QueuePosition&, TimePoint) {
     return std::optional(PlacementRejection{});
@@ -169,15 +170,15 @@
   PlacementRequest batch = make_request(WorkClass::kBatch);
   batch.selection.load_limit = 0.3;
   wait("batch", batch);
-  free_place();
+  free_slot();
   EXPECT_EQ(order.size(), 2U);
-  // Once the burst is forgotten, the place is taken.
+  // When the burst reserve has decayed, the slot is taken.
   loop.restart();
   for (int step = 0; step < 1000 && order.size() < 3; ++step) loop.run_one();
   EXPECT_EQ(order.back(), "batch");
 }
 
-TEST_F(PlacementQueueTest, BatchLeavesThePartThatReturningCallersNeedAndNoMore) {
+TEST_F(PlacementQueueTest, BatchReservesOnlyFractionForReturningCallers) {
   registry.upsert({"r1", "chat", "10.0.0.1:80", "zone", 10, false});
   double part = 0.5;
   queue.decisions().batch_leaves = [&](const std::string&, TimePoint) { return part; };
@@ -190,7 +191,7 @@
   EXPECT_EQ(order, (std::vector<std::string>{"batch"}));
 }
 
-TEST_F(PlacementQueueTest, NewcomersYieldWhileReturningCallersAreDue) {
+TEST_F(PlacementQueueTest, NewcomersYieldWhileReturningCallersAreExpected) {
   bool due = true;
   queue.decisions().returns_due = [&](const std::string&) { return due; };
   queue.decisions().may_leave_to_returned = [](const PlacementRequest& request) {
@@ -206,10 +207,10 @@
   ASSERT_EQ(demand.size(), 1U);
   EXPECT_EQ(demand[0].waiting, 1U);
   EXPECT_EQ(demand[0].yielding, 1U);
-  // One at another node goes first, too.
+  // A returning caller at another node also has precedence.
   registry.set_peer_urgent_demand({stable_hash("chat")});
-  free_place();
-  free_place();
+  free_slot();
+  free_slot();
   EXPECT_EQ(order, (std::vector<std::string>{"first", "returned"}));
   due = false;
   queue.loads_changed();
@@ -217,7 +218,7 @@
   EXPECT_EQ(order.back(), "newcomer");
 }
 
-TEST_F(PlacementQueueTest, BatchWorkTakesNoSlotFromBatchWork) {
+TEST_F(PlacementQueueTest, BatchDoesNotPreemptBatch) {
   int asked = 0;
   queue.set_yield_handler([&](const std::string&, const Runner*) { ++asked; });
   wait("first", make_request(WorkClass::kBatch));
@@ -226,13 +227,13 @@
   EXPECT_EQ(asked, 0);
 }
 
-TEST_F(PlacementQueueTest, DemandOfOtherNodesIsNotReportedAsOwn) {
+TEST_F(PlacementQueueTest, PeerDemandIsNotReportedAsOwn) {
   registry.set_peer_demand({stable_hash("chat")});
   wait("batch", make_request(WorkClass::kBatch));
   EXPECT_TRUE(queue.online_demand().empty());
 }
 
-TEST_F(PlacementQueueTest, BatchYieldsAtARunnerThatHasMoreRequestsThanPlaces) {
+TEST_F(PlacementQueueTest, BatchYieldsAtOvercommittedRunner) {
   std::vector<const Runner*> asked;
   queue.set_yield_handler(
       [&](const std::string&, const Runner* runner) { asked.push_back(runner); });
@@ -245,12 +246,12 @@
   EXPECT_EQ(asked, (std::vector<const Runner*>{&runner}));
 }
 
-TEST_F(PlacementQueueTest, BatchLeavesPlacesToOnlineWorkThatWaitsAtOtherNodes) {
+TEST_F(PlacementQueueTest, BatchYieldsToOnlineDemandOfOtherNodes) {
   registry.set_peer_demand({stable_hash("chat")});
   wait("batch", make_request(WorkClass::kBatch));
   EXPECT_TRUE(order.empty());
   wait("online", make_request(WorkClass::kOnline));
-  free_place();
+  free_slot();
   EXPECT_EQ(order, (std::vector<std::string>{"online"}));
   registry.set_peer_demand({});
   loop.restart();
@@ -258,7 +259,7 @@
   EXPECT_EQ(order, (std::vector<std::string>{"online", "batch"}));
 }
 
-TEST_F(PlacementQueueTest, BatchLeavesMorePlacesFreeJustAfterOnlineWorkHadToWait) {
+TEST_F(PlacementQueueTest, BatchReserveIsLargerRightAfterUnmetOnlineDemand) {
   registry.upsert({"r1", "chat", "10.0.0.1:80", "zone", 10, false});
   for (int i = 0; i < 4; ++i) registry.all().at("r1")->begin_attempt();
   PlacementRequest request = make_request(WorkClass::kBatch);
@@ -272,37 +273,37 @@
   queue.loads_changed();
   run();
   EXPECT_EQ(order, (std::vector<std::string>{"calm"}));
-  // Once the burst is forgotten, the place is taken.
+  // When the burst reserve has decayed, the slot is taken.
   loop.restart();
   for (int step = 0; step < 1000 && order.size() < 2; ++step) loop.run_one();
   EXPECT_EQ(order.back(), "in the burst");
 }
 
-TEST_F(PlacementQueueTest, ACancelledWaitTakesNoPlace) {
+TEST_F(PlacementQueueTest, CancelledWaitTakesNoSlot) {
   wait("first", make_request(WorkClass::kOnline));
   const auto ticket = wait("second", make_request(WorkClass::kOnline));
   ticket->cancel();
   run();
   EXPECT_EQ(order.back(), "second without");
-  free_place();
+  free_slot();
   EXPECT_EQ(registry.all().at("r1")->in_flight(), 0U);
 }
 
-TEST_F(PlacementQueueTest, APlaceGivenAndCancelledAtOnceIsGivenBack) {
+TEST_F(PlacementQueueTest, SlotIsReturnedIfTicketIsCancelledBeforeResume) {
   wait("first", make_request(WorkClass::kOnline));
   const auto ticket = wait("second", make_request(WorkClass::kOnline));
   registry.all().at("r1")->end_attempt(AttemptOutcome::kServed, monotonic_now());
-  queue.capacity_changed();  // The place is given, but its owner has not run yet.
+  queue.capacity_changed();  // The slot is assigned, but the waiting coroutine has not resumed yet.
   ticket->cancel();
   run();
   EXPECT_EQ(order.back(), "second without");
   EXPECT_EQ(registry.all().at("r1")->in_flight(), 0U);
 }
 
-/// Turns by tenant, and what the queue says of requests that it gave no slot.
-class PlacementTurnsTest : public PlacementQueueTest {
+/// Fair-share ranks by tenant, and the callback for requests that got no slot.
+class PlacementFairShareTest : public PlacementQueueTest {
  protected:
-  PlacementTurnsTest() {
+  PlacementFairShareTest() {
     PlacementDecisions decisions;
     decisions.turn = [this](const PlacementRequest& request, TimePoint) {
       return turns[request.tenant];
@@ -313,7 +314,7 @@
     decisions.yields = [](const PlacementRequest& request) { return request.turn >= 1; };
     queue.decisions() = std::move(decisions);
   }
-  PlacementRequest of_tenant(const std::string& tenant, std::uint32_t priority = 0) {
+  PlacementRequest make_tenant_request(const std::string& tenant, std::uint32_t priority = 0) {
     PlacementRequest request = make_request(WorkClass::kOnline, priority);
     request.due = monotonic_now() + std::chrono::seconds(20);
     request.tenant = tenant;
@@ -324,67 +325,67 @@
   std::vector<std::string> left;
 };
 
-TEST_F(PlacementTurnsTest, ALowerTurnGoesFirstInsideAPriorityAndNotAcross) {
+TEST_F(PlacementFairShareTest, LowerRankGoesFirstWithinPriorityOnly) {
   PlacementDecisions without_yields;
   without_yields.turn = [this](const PlacementRequest& request, TimePoint) {
     return turns[request.tenant];
   };
   queue.decisions() = std::move(without_yields);
-  wait("first", of_tenant("light"));
-  wait("heavy", of_tenant("heavy"));
-  wait("light, less urgent", of_tenant("light", 1));
-  wait("light", of_tenant("light"));
-  for (int i = 0; i < 3; ++i) free_place();
+  wait("first", make_tenant_request("light"));
+  wait("heavy", make_tenant_request("heavy"));
+  wait("light, less urgent", make_tenant_request("light", 1));
+  wait("light", make_tenant_request("light"));
+  for (int i = 0; i < 3; ++i) free_slot();
   EXPECT_EQ(order, (std::vector<std::string>{"first", "light", "heavy", "light, less urgent"}));
 }
 
-TEST_F(PlacementTurnsTest, WhatYieldsLeavesSlotsToWhatWaitsInTimeAtOtherNodes) {
-  wait("first", of_tenant("light"));
-  wait("heavy", of_tenant("heavy"));
+TEST_F(PlacementFairShareTest, YieldingRequestsLeaveSlotsToOnTimeRequestsOfOtherNodes) {
+  wait("first", make_tenant_request("light"));
+  wait("heavy", make_tenant_request("heavy"));
   registry.set_peer_urgent_demand({stable_hash("chat")});
-  free_place();
-  // Nor does it take a free slot when it comes.
-  wait("heavy, new", of_tenant("heavy"));
+  free_slot();
+  // An arriving request does not take the free slot either.
+  wait("heavy, new", make_tenant_request("heavy"));
   EXPECT_EQ(order, (std::vector<std::string>{"first"}));
-  wait("light", of_tenant("light"));
+  wait("light", make_tenant_request("light"));
   EXPECT_EQ(order, (std::vector<std::string>{"first", "light"}));
   registry.set_peer_urgent_demand({});
-  free_place();
+  free_slot();
   EXPECT_EQ(order.back(), "heavy");
 }
 
-TEST_F(PlacementTurnsTest, WhatYieldsIsNotReportedAsWaitingInTime) {
-  wait("first", of_tenant("light"));
-  wait("heavy", of_tenant("heavy"));
+TEST_F(PlacementFairShareTest, YieldingRequestsAreReportedSeparately) {
+  wait("first", make_tenant_request("light"));
+  wait("heavy", make_tenant_request("heavy"));
   ASSERT_EQ(queue.online_demand().size(), 1U);
   EXPECT_EQ(queue.online_demand()[0].waiting, 0U);
   EXPECT_EQ(queue.online_demand()[0].yielding, 1U);
-  wait("light", of_tenant("light"));
+  wait("light", make_tenant_request("light"));
   EXPECT_EQ(queue.online_demand()[0].waiting, 1U);
   EXPECT_EQ(queue.online_demand()[0].yielding, 1U);
 }
 
-TEST_F(PlacementTurnsTest, WhatYieldsTakesASlotThatNobodyElseWants) {
+TEST_F(PlacementFairShareTest, YieldingRequestTakesSlotWithoutCompetingDemand) {
   registry.set_peer_yielding_demand({stable_hash("chat")});
-  wait("heavy", of_tenant("heavy"));
-  wait("heavy, next", of_tenant("heavy"));
-  free_place();
+  wait("heavy", make_tenant_request("heavy"));
+  wait("heavy, next", make_tenant_request("heavy"));
+  free_slot();
   EXPECT_EQ(order, (std::vector<std::string>{"heavy", "heavy, next"}));
 }
 
-TEST_F(PlacementTurnsTest, LateWorkLeavesSlotsToWhatYieldsAtOtherNodes) {
-  wait("first", of_tenant("light"));
-  PlacementRequest late = of_tenant("light");
+TEST_F(PlacementFairShareTest, LateRequestsYieldToYieldingRequestsOfOtherNodes) {
+  wait("first", make_tenant_request("light"));
+  PlacementRequest late = make_tenant_request("light");
   late.due = monotonic_now() - std::chrono::seconds(1);
   wait("late", late);
   registry.set_peer_yielding_demand({stable_hash("chat")});
-  free_place();
+  free_slot();
   EXPECT_EQ(order, (std::vector<std::string>{"first"}));
 }
 
-TEST_F(PlacementTurnsTest, WhoLeavesWithoutASlotIsToldOnce) {
-  wait("first", of_tenant("light"));
-  const auto ticket = wait("second", of_tenant("heavy"));
+TEST_F(PlacementFairShareTest, UnplacedCallbackRunsOnce) {
+  wait("first", make_tenant_request("light"));
+  const auto ticket = wait("second", make_tenant_request("heavy"));
   ticket->cancel();
   run();
   EXPECT_EQ(left, (std::vector<std::string>{"heavy"}));
