--- a/src/routing/latency_quantile.cc
+++ b/src/routing/latency_quantile.cc
@@ -5,10 +5,11 @@
 namespace stoathold {
 namespace {
 
-/// Part of the estimate that one sample may move it. Larger follows changes sooner and swings more.
+/// Largest fraction of the estimate by which one sample moves it. A larger one follows changes
+/// sooner but fluctuates more.
 constexpr double kStep = 0.1;
-/// Smallest step, so that an estimate near zero can rise.
-constexpr double kLeastStepMs = 0.5;
+/// Minimum step, so that an estimate near zero can rise.
+constexpr double kMinStepMs = 0.5;
 constexpr double kMsPerSecond = 1000;
 
 }  // namespace
@@ -20,7 +21,7 @@
     value_ms_ = sample_ms;
     return;
   }
-  const double step = std::max(kLeastStepMs, value_ms_ * kStep);
+  const double step = std::max(kMinStepMs, value_ms_ * kStep);
   if (sample_ms > value_ms_) {
     value_ms_ = std::min(sample_ms, value_ms_ + step * quantile_);
   } else {
--- a/src/routing/route_pace.h
+++ b/src/routing/route_pace.h
@@ -1,16 +1,16 @@
 /// @file
-/// What a node reports to others about how answers of a route come.
+/// Node-to-node report of the rate at which responses of a route are streamed.
 #pragma once
 
 #include <cstdint>
 
 namespace stoathold {
 
-/// The pace of one route's answers.
+/// Streaming rate of one route's responses.
 struct RoutePace {
   std::uint64_t route = 0;                   ///< Hash of its name.
-  std::uint32_t event_gap_us = 0;            ///< From one event to the next, microseconds.
-  std::uint16_t tokens_per_event_16ths = 0;  ///< Mean tokens in an event, in sixteenths.
+  std::uint32_t event_gap_us = 0;            ///< Time between two events in microseconds.
+  std::uint16_t tokens_per_event_16ths = 0;  ///< Mean tokens per event, in sixteenths.
 
   template <typename Archive>
   void serialize(Archive& archive) {
--- a/src/routing/runner_errors.cc
+++ b/src/routing/runner_errors.cc
@@ -5,22 +5,24 @@
 namespace stoathold {
 namespace {
 
-/// Time in which counts fall to 1/e: some requests of usual length (0.7 to 5 s on all deployments).
-constexpr Duration kMemory = std::chrono::seconds(3);
-/// Errors that make a runner suspect: one may be the item's.
-constexpr double kErrorsToSuspect = 1.8;
-/// Part of the answers that must be errors. Items that fail everywhere are one in a hundred on the
-/// deployments seen; runners that fail now and then failed a third to a half of their requests.
-constexpr double kPartToSuspect = 0.25;
-/// Counts below this are not worth a report.
-constexpr double kReportedErrors = 0.3;
-/// Nodes whose counts are kept; the counts of a node that has gone decay to nothing.
+/// Time constant of the decay, which covers several requests of typical duration (0.7 to 5 s on all
+/// deployments).
+constexpr Duration kCountDecayTime = std::chrono::seconds(3);
+/// Errors needed to eject a runner; a single one may be caused by the item.
+constexpr double kMinErrorsToEject = 1.8;
+/// Required fraction of errors among the responses. On the deployments seen, 1 in 100 items fails
+/// at every runner, while intermittently failing runners failed a third to a half of their
+/// requests.
+constexpr double kMinErrorFraction = 0.25;
+/// Error counts below this are not reported.
+constexpr double kMinReportedErrors = 0.3;
+/// Nodes whose counts are kept; the counts of a node that has left decay to zero.
 constexpr std::size_t kMaxNodes = 64;
-constexpr double kForgotten = 0.05;
+constexpr double kNegligibleErrors = 0.05;
 
 }  // namespace
 
-RunnerErrors::Counts::Counts() : errors(kMemory), served(kMemory) {}
+RunnerErrors::Counts::Counts() : errors(kCountDecayTime), served(kCountDecayTime) {}
 
 void RunnerErrors::count(bool error, TimePoint now) {
   (error ? own_.errors : own_.served).add(1, now);
@@ -28,8 +30,9 @@
 
 void RunnerErrors::take_report(std::uint64_t node, const AnswerCounts& counts, TimePoint now) {
   if (reported_.size() >= kMaxNodes) {
-    std::erase_if(reported_,
-                  [now](const auto& entry) { return entry.second.errors.value(now) < kForgotten; });
+    std::erase_if(reported_, [now](const auto& entry) {
+      return entry.second.errors.value(now) < kNegligibleErrors;
+    });
   }
   Counts& entry = reported_[node];
   entry.errors.set(counts.errors, now);
@@ -38,7 +41,7 @@
 
 std::optional<AnswerCounts> RunnerErrors::own_report(TimePoint now) const {
   const double errors = own_.errors.value(now);
-  if (errors < kReportedErrors) return std::nullopt;
+  if (errors < kMinReportedErrors) return std::nullopt;
   return AnswerCounts{errors, own_.served.value(now)};
 }
 
@@ -49,7 +52,7 @@
     errors += counts.errors.value(now);
     served += counts.served.value(now);
   }
-  return errors >= kErrorsToSuspect && errors >= kPartToSuspect * (errors + served);
+  return errors >= kMinErrorsToEject && errors >= kMinErrorFraction * (errors + served);
 }
 
 }  // namespace stoathold
--- a/src/routing/runner_errors.h
+++ b/src/routing/runner_errors.h
@@ -1,5 +1,5 @@
 /// @file
-/// How many of a runner's answers were errors of its own, as all nodes of the zone have seen it.
+/// Error rate of a runner, from the responses that all nodes of the zone have received from it.
 #pragma once
 
 #include <cstdint>
@@ -11,25 +11,26 @@
 
 namespace stoathold {
 
-/// Answers that one node had from a runner lately.
+/// Recent responses of a runner to one node.
 struct AnswerCounts {
-  double errors = 0;  ///< Errors of the runner's own.
-  double served = 0;  ///< Whole answers.
+  double errors = 0;  ///< Errors of the runner itself.
+  double served = 0;  ///< Complete responses.
 };
 
-/// A runner may say that it is well and fail what it is given. Since it fails at once it looks
-/// idle, so that ever more work would go to it. Each node sees few of its answers, so nodes report
-/// their counts to one another. An item of a batch job that fails everywhere makes few errors among
-/// many answers, and no runner suspect. Used on one thread.
+/// Detects runners that fail their requests although they report to be healthy. Such a runner looks
+/// idle because it fails at once, and would attract ever more work. Each node sees few of its
+/// responses, so nodes exchange their counts. A batch item that fails at every runner causes few
+/// errors among many responses and does not raise a runner's error rate above the limit. Used on
+/// one thread.
 class RunnerErrors {
  public:
-  /// An answer came.
+  /// Counts a response.
   void count(bool error, TimePoint now);
-  /// Another node's counts, which replace what it reported before.
+  /// Replaces the counts of another node by a new report.
   void take_report(std::uint64_t node, const AnswerCounts& counts, TimePoint now);
-  /// Returns the own counts if they hold an error that others should know of.
+  /// Returns this node's counts if they include errors worth reporting to other nodes.
   [[nodiscard]] std::optional<AnswerCounts> own_report(TimePoint now) const;
-  /// Whether the runner fails so much of what it is given that it should be left alone.
+  /// Returns whether the runner fails so many of its requests that it should be ejected.
   [[nodiscard]] bool suspect(TimePoint now) const;
 
  private:
--- a/src/routing/runner_identity.h
+++ b/src/routing/runner_identity.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which start of a runner is meant: a runner may start again under the id that it had.
+/// Identifies one incarnation of a runner, which may restart under the same id.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,17 @@
 
 namespace stoathold {
 
-/// When a runner started, as it tells: Unix milliseconds of its own clock. That clock may be wrong
-/// or step back, so two starts are only ever compared for equality.
+/// When a runner's process started, as the runner reports it: Unix milliseconds of its own clock.
+/// That clock may be wrong or step back, so start times are compared only for equality.
 enum class RunnerStart : std::uint64_t {};
 
-/// One start of a runner. Whatever is believed of a runner is believed of one start: the next one
-/// holds and knows nothing of it.
+/// Identifies one incarnation of a runner. Knowledge about a runner applies to one incarnation
+/// only: after a restart the runner holds no requests and no cached state.
 struct RunnerIdentity {
   std::string id;
-  std::optional<RunnerStart> start;  ///< Nothing if the runner doesn't tell it.
+  std::optional<RunnerStart> start;  ///< Empty if the runner does not report it.
 
-  /// Returns what stands for this start among the nodes.
+  /// Returns the hash that identifies this incarnation among the nodes.
   [[nodiscard]] std::uint64_t hash() const;
   bool operator==(const RunnerIdentity&) const = default;
 };
--- a/src/routing/slot_arbitration.cc
+++ b/src/routing/slot_arbitration.cc
@@ -8,13 +8,14 @@
 namespace stoathold {
 namespace {
 
-/// Time for the use of a slot to be seen by the other nodes: a digest waits up to 12 ms for the one
-/// before it, and takes about a millisecond to arrive and to be read.
-constexpr Duration kUseBecomesKnown = std::chrono::milliseconds(15);
-/// Later ranks wait no longer than this: the slot should not stand idle if many nodes were lost.
-constexpr std::size_t kMostRanks = 3;
-
-/// Weighted rendezvous: the smallest value wins, in proportion to the weights.
+/// Time until other nodes see that a slot is in use: a digest waits up to 12 ms for the previous
+/// one, and takes about a millisecond to arrive and be processed.
+constexpr Duration kUsePropagationTime = std::chrono::milliseconds(15);
+/// Cap on the rank, so that the slot does not stay idle if many nodes have failed.
+constexpr std::size_t kMaxRank = 3;
+
+/// Weighted rendezvous hashing: the smallest value wins, with a probability proportional to the
+/// weight.
 double draw(const SlotContender& contender, std::uint64_t slot) {
   constexpr double kScale = 0x1.0p-64;
   const auto hash = static_cast<double>(mix_hashes(contender.node, slot));
@@ -37,7 +38,7 @@
 }
 
 Duration slot_wait(std::size_t rank) {
-  return kUseBecomesKnown * static_cast<Duration::rep>(std::min(rank, kMostRanks));
+  return kUsePropagationTime * static_cast<Duration::rep>(std::min(rank, kMaxRank));
 }
 
 }  // namespace stoathold
--- a/src/routing/traffic_split.cc
+++ b/src/routing/traffic_split.cc
@@ -8,7 +8,7 @@
 namespace {
 
 template <typename Shares>
-bool same_weights(const Shares& shares, const std::vector<WeightedService>& services) {
+bool has_same_weights(const Shares& shares, const std::vector<WeightedService>& services) {
   return std::equal(shares.begin(), shares.end(), services.begin(), services.end(),
                     [](const auto& share, const WeightedService& service) {
                       return share.service == service.service && share.weight == service.weight;
@@ -20,10 +20,10 @@
 const std::string& TrafficSplit::next_service(const Route& route) {
   if (route.services.size() == 1) return route.services.front().service;
   auto& shares = shares_[route.name];
-  if (!same_weights(shares, route.services)) {
+  if (!has_same_weights(shares, route.services)) {
     shares.clear();
     for (const auto& service : route.services) {
-      // A random start keeps nodes with few requests from all beginning with the same service.
+      // Random initial credit: otherwise nodes with few requests would all favor the same service.
       const auto start = static_cast<std::int64_t>(process_random().below(service.weight + 1));
       shares.push_back({service.service, service.weight, start});
     }
--- a/src/routing/traffic_split.h
+++ b/src/routing/traffic_split.h
@@ -1,5 +1,5 @@
 /// @file
-/// Divides a route's requests among its services by weight.
+/// Distributes a route's requests over its services by weight.
 #pragma once
 
 #include <map>
@@ -10,11 +10,12 @@
 
 namespace stoathold {
 
-/// Smooth weighted round robin for each route: over any stretch of requests each service's share
-/// is its weight's, within one request. Starts anew when a route's weights change. Not thread safe.
+/// Smooth weighted round robin per route: over any sequence of requests, each service's share
+/// matches its weight to within one request. Restarts when a route's weights change. Not thread
+/// safe.
 class TrafficSplit {
  public:
-  /// Returns the service for the route's next request; the route has at least one service.
+  /// Returns the service for the route's next request. The route must have at least one service.
   const std::string& next_service(const Route& route);
 
  private:
--- a/tests/routing/latency_quantile_test.cc
+++ b/tests/routing/latency_quantile_test.cc
@@ -9,7 +9,7 @@
 
 constexpr double kQuantile = 0.8;
 
-TEST(LatencyQuantileTest, TheEstimateNearsTheQuantileOfItsSamples) {
+TEST(LatencyQuantileTest, EstimateConvergesToQuantile) {
   LatencyQuantile estimate(kQuantile);
   EXPECT_EQ(estimate.value(), Duration{0});
   Random random(7);
@@ -20,7 +20,7 @@
   EXPECT_LT(estimate.value(), std::chrono::milliseconds(149));
 }
 
-TEST(LatencyQuantileTest, OneOutlierMovesItLittleAndAChangeIsFollowed) {
+TEST(LatencyQuantileTest, EstimateIgnoresOutlierAndFollowsChange) {
   LatencyQuantile estimate(kQuantile);
   for (int i = 0; i < 100; ++i) estimate.observe(std::chrono::milliseconds(80));
   estimate.observe(std::chrono::seconds(5));
--- a/tests/routing/runner_errors_test.cc
+++ b/tests/routing/runner_errors_test.cc
@@ -13,7 +13,7 @@
 
 constexpr TimePoint kStart{seconds(100)};
 
-TEST(RunnerErrorsTest, OneErrorIsTheItemsAndTwoAreTheRunners) {
+TEST(RunnerErrorsTest, TwoErrorsExceedTheLimit) {
   RunnerErrors errors;
   errors.count(true, kStart);
   EXPECT_FALSE(errors.suspect(kStart));
@@ -21,7 +21,7 @@
   EXPECT_TRUE(errors.suspect(kStart));
 }
 
-TEST(RunnerErrorsTest, FewErrorsAmongManyAnswersAreTheItems) {
+TEST(RunnerErrorsTest, FewErrorsAmongManyResponsesAreTolerated) {
   RunnerErrors errors;
   for (int i = 0; i < 20; ++i) errors.count(false, kStart);
   errors.count(true, kStart);
@@ -29,7 +29,7 @@
   EXPECT_FALSE(errors.suspect(kStart));
 }
 
-TEST(RunnerErrorsTest, NodesThatSawOneErrorEachConvictTogether) {
+TEST(RunnerErrorsTest, ErrorsSeenByDifferentNodesAddUp) {
   RunnerErrors first;
   RunnerErrors second;
   first.count(true, kStart);
@@ -45,7 +45,7 @@
   EXPECT_FALSE(third.suspect(kStart));
 }
 
-TEST(RunnerErrorsTest, OldErrorsAreForgotten) {
+TEST(RunnerErrorsTest, OldErrorsExpire) {
   RunnerErrors errors;
   errors.count(true, kStart);
   errors.count(true, kStart);
@@ -63,9 +63,10 @@
   runner.end_attempt(evidence_of(AttemptResult::kFailed), now);
 }
 
-// An item's 500 once counted as no evidence, and one that was passed on as a served request: a
-// runner that failed all it was given looked idle and was given ever more.
-TEST(RunnerErrorsTest, ARunnerThatAnswersWithErrorsIsEjectedThoughItIsHeard) {
+// Guards against ignoring errors of a runner: a 500 response to a batch item was not counted, and
+// one passed to the caller counted as served. A runner that failed all its requests looked idle and
+// received ever more of them.
+TEST(RunnerErrorsTest, RunnerRespondingWithErrorsIsEjected) {
   Runner runner = make_runner();
   fail_with_error(runner, kStart);
   EXPECT_FALSE(runner.ejected(kStart));
@@ -77,24 +78,24 @@
   EXPECT_TRUE(runner.own_ejection(kStart + milliseconds(2))->by_errors);
 }
 
-TEST(RunnerErrorsTest, APassedOnErrorIsEvidenceToo) {
+TEST(RunnerErrorsTest, ErrorsPassedToTheCallerCount) {
   EXPECT_EQ(evidence_of(AttemptResult::kErrorPassedOn), AttemptOutcome::kError);
   EXPECT_EQ(evidence_of(AttemptResult::kFailed), AttemptOutcome::kError);
 }
 
-TEST(RunnerErrorsTest, AfterThePauseOneRequestIsTriedAndServiceBringsTheRunnerBack) {
+TEST(RunnerErrorsTest, SingleTrialRequestRestoresRunnerAfterEjection) {
   Runner runner = make_runner();
   fail_with_error(runner, kStart);
   fail_with_error(runner, kStart);
   const TimePoint later = kStart + seconds(6);
   EXPECT_FALSE(runner.ejected(later));
   runner.begin_attempt();
-  EXPECT_TRUE(runner.ejected(later));  // One is on its way.
+  EXPECT_TRUE(runner.ejected(later));  // The trial request is in flight.
   runner.end_attempt(AttemptOutcome::kServed, later);
   EXPECT_FALSE(runner.ejected(later + milliseconds(1)));
 }
 
-TEST(RunnerErrorsTest, AFailedTrialEjectsForLonger) {
+TEST(RunnerErrorsTest, FailedTrialExtendsEjection) {
   Runner runner = make_runner();
   fail_with_error(runner, kStart);
   fail_with_error(runner, kStart);
@@ -103,7 +104,7 @@
   EXPECT_TRUE(runner.ejected(later + milliseconds(900)));
 }
 
-TEST(RunnerErrorsTest, OneNodesReportOfErrorsIsEnough) {
+TEST(RunnerErrorsTest, EjectionReportedByOnePeerIsApplied) {
   Runner runner = make_runner();
   runner.heard(kStart);
   runner.take_peer_ejection({.reporter = 7,
--- a/tests/routing/slot_arbitration_test.cc
+++ b/tests/routing/slot_arbitration_test.cc
@@ -14,7 +14,7 @@
   return {{11, first_waiting}, {12, 1}, {13, 1}, {14, 1}};
 }
 
-TEST(SlotArbitrationTest, AllNodesComputeOneOrder) {
+TEST(SlotArbitrationTest, AllNodesComputeTheSameOrder) {
   for (std::uint64_t slot = 1; slot < 100; ++slot) {
     std::set<std::size_t> ranks;
     for (const auto& contender : contenders(1)) {
@@ -24,12 +24,12 @@
   }
 }
 
-TEST(SlotArbitrationTest, WhoDoesNotWaitComesLast) {
+TEST(SlotArbitrationTest, NonContenderRanksLast) {
   EXPECT_EQ(rank_for_slot(99, contenders(1), 5), 4U);
   EXPECT_EQ(rank_for_slot(99, {}, 5), 0U);
 }
 
-TEST(SlotArbitrationTest, SlotsAreDividedByWhatWaits) {
+TEST(SlotArbitrationTest, SlotsAreDividedByNumberOfWaitingRequests) {
   constexpr int kSlots = 3000;
   int won = 0;
   for (std::uint64_t slot = 1; slot <= kSlots; ++slot) {
@@ -38,13 +38,13 @@
   EXPECT_NEAR(won, kSlots / 2, kSlots / 20);
 }
 
-TEST(SlotArbitrationTest, TheFirstTakesASlotAtOnceAndTheOthersLater) {
+TEST(SlotArbitrationTest, WaitGrowsWithRankUpToCap) {
   EXPECT_EQ(slot_wait(0), Duration{0});
   EXPECT_LT(slot_wait(1), slot_wait(2));
   EXPECT_EQ(slot_wait(50), slot_wait(10));
 }
 
-/// What one node makes of the others' digests.
+/// The runner loads that one node derives from the digests of others.
 struct View {
   explicit View(std::uint64_t node) : table(registry, "zone", node) {
     registry.upsert({"r1", "chat", "10.0.0.1:80", "zone", 2, false});
@@ -75,8 +75,8 @@
   PeerUseTable table;
 };
 
-// Two nodes that waited once both took the one slot that a third gave back.
-TEST(SlotArbitrationTest, OneOfTheNodesThatWaitSeesAFreeSlot) {
+// Guards against two waiting nodes both taking the one slot that a third node freed.
+TEST(SlotArbitrationTest, FreeSlotIsVisibleToOneWaitingNode) {
   const TimePoint now{std::chrono::seconds(100)};
   for (std::uint64_t sequence = 10; sequence < 40; sequence += 2) {
     View first(1);
@@ -91,16 +91,16 @@
     const int free =
         (first.runner().load(now) < 1 ? 1 : 0) + (second.runner().load(now) < 1 ? 1 : 0);
     EXPECT_EQ(free, 1) << sequence;
-    // If the one does not take it, the other may.
+    // If the first does not take it, the other may.
     const TimePoint later = now + std::chrono::milliseconds(20);
     EXPECT_LT(first.runner().load(later), 1);
     EXPECT_LT(second.runner().load(later), 1);
   }
 }
 
-// At 89 nodes most have only requests of a tenant that floods the fleet: the slots are not theirs
-// as long as another node has requests of other tenants.
-TEST(SlotArbitrationTest, WorkThatYieldsTakesNoSlotThatUrgentWorkElsewhereWaitsFor) {
+// With 89 nodes, most have only requests of a tenant that floods the fleet. They must leave slots
+// to nodes with requests of other tenants.
+TEST(SlotArbitrationTest, YieldingWorkLeavesSlotToUrgentWorkOfOtherNodes) {
   const TimePoint now{std::chrono::seconds(100)};
   const ServiceDemand nothing{stable_hash("chat"), 0, 0};
   const ServiceDemand urgent{stable_hash("chat"), 1, 0};
@@ -114,7 +114,7 @@
   }
 }
 
-TEST(SlotArbitrationTest, OneOfTheNodesWithWorkThatYieldsSeesAFreeSlotThatNobodyElseWants) {
+TEST(SlotArbitrationTest, UncontestedSlotIsVisibleToOneYieldingNode) {
   const TimePoint now{std::chrono::seconds(100)};
   const ServiceDemand nothing{stable_hash("chat"), 0, 0};
   const ServiceDemand yielding{stable_hash("chat"), 0, 5};
--- a/tests/routing/traffic_split_test.cc
+++ b/tests/routing/traffic_split_test.cc
@@ -7,7 +7,7 @@
 namespace stoathold {
 namespace {
 
-TEST(TrafficSplitTest, SharesFollowTheWeights) {
+TEST(TrafficSplitTest, SharesMatchWeights) {
   Route route;
   route.name = "r";
   route.services = {{"a", 90}, {"b", 10}};
@@ -18,7 +18,7 @@
   EXPECT_NEAR(counts["b"], 100, 2);
 }
 
-TEST(TrafficSplitTest, NewWeightsCountFromTheNextRequest) {
+TEST(TrafficSplitTest, NewWeightsApplyToNextRequest) {
   Route route;
   route.name = "r";
   route.services = {{"a", 1}, {"b", 1}};
