--- a/src/routing/batch_turns.cc
+++ b/src/routing/batch_turns.cc
@@ -5,19 +5,19 @@
 namespace stoathold {
 namespace {
 
-/// A node whose turn it is has this long to take a runner's room before the next one may: slow
-/// machines get their processor each 100 ms.
-constexpr Duration kTurn = std::chrono::milliseconds(60);
-/// Later ranks wait no longer than this: room should not stand idle if many nodes were lost.
-constexpr std::size_t kMostRanks = 8;
-/// A node that has said nothing for so long is out of its turn; digests come each second at least.
+/// Time that each rank has to use a runner's free slots before the next rank may. It must cover the
+/// scheduling delay of slow machines, which get their processor every 100 ms.
+constexpr Duration kRankDelay = std::chrono::milliseconds(60);
+/// Cap on the rank, so that slots do not stay idle if many nodes have failed.
+constexpr std::size_t kMaxRank = 8;
+/// Age at which a peer's report is ignored; digests are sent at least every second.
 constexpr Duration kPeerLifetime = std::chrono::milliseconds(1500);
-/// Orders are computed this often at most: digests come in hundreds a second.
-constexpr Duration kOrderLifetime = std::chrono::milliseconds(10);
-/// Runners beyond which those that were not looked at are forgotten.
-constexpr std::size_t kMostRooms = 4096;
-/// Room that was not looked at for so long counts as new.
-constexpr Duration kRoomLifetime = std::chrono::milliseconds(250);
+/// Minimum interval between computations of the order; digests arrive at hundreds per second.
+constexpr Duration kMinRankInterval = std::chrono::milliseconds(10);
+/// Number of runners beyond which entries older than `kFreeSlotLifetime` are dropped.
+constexpr std::size_t kMaxFreeSlotEntries = 4096;
+/// Time without a look at a runner after which its free slots count as newly free.
+constexpr Duration kFreeSlotLifetime = std::chrono::milliseconds(250);
 
 std::uint16_t& count_of(BatchWait& wait, ItemUrgency urgency) {
   return urgency == ItemUrgency::kInTime ? wait.in_time : wait.late;
@@ -62,8 +62,8 @@
   }
 }
 
-std::vector<SlotContender> BatchTurns::contenders(const Kind& kind, TimePoint now) const {
-  const auto& [service, urgency] = kind;
+std::vector<SlotContender> BatchTurns::contenders(const QueueKey& key, TimePoint now) const {
+  const auto& [service, urgency] = key;
   std::vector<SlotContender> contenders;
   const auto own = own_.find(service);
   if (own != own_.end() && count_of(own->second, urgency) > 0) {
@@ -79,12 +79,12 @@
   return contenders;
 }
 
-std::size_t BatchTurns::rank(const Kind& kind, std::uint64_t runner, TimePoint now) {
-  Ranks& ranks = ranks_[kind];
-  if (ranks.computed == TimePoint{} || now - ranks.computed > kOrderLifetime) {
-    ranks = {now, 0, contenders(kind, now), {}};
-    if (kind.second == ItemUrgency::kLate) {
-      ranks.before = contenders({kind.first, ItemUrgency::kInTime}, now).size();
+std::size_t BatchTurns::rank(const QueueKey& key, std::uint64_t runner, TimePoint now) {
+  Ranks& ranks = ranks_[key];
+  if (ranks.computed == TimePoint{} || now - ranks.computed > kMinRankInterval) {
+    ranks = {now, 0, contenders(key, now), {}};
+    if (key.second == ItemUrgency::kLate) {
+      ranks.before = contenders({key.first, ItemUrgency::kInTime}, now).size();
     }
   }
   const auto known = ranks.by_runner.find(runner);
@@ -96,18 +96,20 @@
 
 bool BatchTurns::may_take(std::uint64_t service, ItemUrgency urgency, std::uint64_t runner,
                           TimePoint now) {
-  if (room_.size() > kMostRooms) {
-    std::erase_if(room_, [&](const auto& room) { return now - room.second.seen > kRoomLifetime; });
+  if (free_slots_.size() > kMaxFreeSlotEntries) {
+    std::erase_if(free_slots_, [&](const auto& free_slots) {
+      return now - free_slots.second.seen > kFreeSlotLifetime;
+    });
   }
-  Room& room = room_[runner];
-  if (now - room.seen > kRoomLifetime) room.since = now;
-  room.seen = now;
-  const std::size_t ahead = std::min(rank({service, urgency}, runner, now), kMostRanks);
-  return now - room.since >= kTurn * static_cast<Duration::rep>(ahead);
+  FreeSlots& free_slots = free_slots_[runner];
+  if (now - free_slots.seen > kFreeSlotLifetime) free_slots.since = now;
+  free_slots.seen = now;
+  const std::size_t ahead = std::min(rank({service, urgency}, runner, now), kMaxRank);
+  return now - free_slots.since >= kRankDelay * static_cast<Duration::rep>(ahead);
 }
 
-bool BatchTurns::is_first(std::uint64_t service, ItemUrgency urgency, std::uint64_t runner,
-                          TimePoint now) {
+bool BatchTurns::is_first_in_order(std::uint64_t service, ItemUrgency urgency, std::uint64_t runner,
+                                   TimePoint now) {
   return rank({service, urgency}, runner, now) == 0;
 }
 
--- a/src/routing/runner_registry.cc
+++ b/src/routing/runner_registry.cc
@@ -8,27 +8,28 @@
 namespace stoathold {
 namespace {
 
-/// Failures in a row after which a runner is left alone for a while.
+/// Consecutive failures after which a runner is ejected.
 constexpr std::uint32_t kFailuresToEject = 2;
-/// First pause of an ejected runner; it doubles with each further failure.
-constexpr Duration kFirstEjection = std::chrono::milliseconds(500);
-constexpr Duration kLongestEjection = std::chrono::seconds(4);
-constexpr std::uint32_t kMostDoublings = 4;
-/// A runner that turns work away as full is spared for a moment.
-constexpr Duration kFullPause = std::chrono::milliseconds(50);
-/// A load report counts in full for a while, then for less and less until it counts for nothing.
-constexpr Duration kReportFresh = std::chrono::milliseconds(500);
-/// How long a report is evidence of free places at a runner that nodes of other zones use.
-constexpr Duration kReportTrusted = std::chrono::milliseconds(1000);
-constexpr Duration kReportLifetime = std::chrono::milliseconds(2500);
-/// How long the load that another zone reported of its runner counts; reports come four times a
+/// Duration of the first ejection; it doubles with each further failure.
+constexpr Duration kInitialEjection = std::chrono::milliseconds(500);
+constexpr Duration kMaxEjection = std::chrono::seconds(4);
+constexpr std::uint32_t kMaxEjectionDoublings = 4;
+/// Pause after a runner rejected work as full.
+constexpr Duration kFullRejectionPause = std::chrono::milliseconds(50);
+/// Age up to which a load report has full weight. The weight then falls to zero at
+/// `kReportMaxAge`.
+constexpr Duration kReportFullWeightAge = std::chrono::milliseconds(500);
+/// Age up to which a report is evidence of free slots at a runner that other zones also use.
+constexpr Duration kReportTrustedAge = std::chrono::milliseconds(1000);
+constexpr Duration kReportMaxAge = std::chrono::milliseconds(2500);
+/// Age up to which a load reported by the runner's own zone counts. Reports arrive four times a
 /// second.
-constexpr Duration kZoneLoadLifetime = std::chrono::milliseconds(700);
-/// How long a start is remembered after its entry has gone, beyond its requests in flight. By then
-/// no evidence of it counts any more: the longest ejection is 4 s.
-constexpr Duration kLapsedLifetime = std::chrono::seconds(10);
+constexpr Duration kZoneLoadMaxAge = std::chrono::milliseconds(700);
+/// How long an incarnation is kept after its directory entry is gone and its requests have ended.
+/// Its health state has expired by then: the longest ejection is 4 s.
+constexpr Duration kRetiredLifetime = std::chrono::seconds(10);
 
-/// Milliseconds since a moment, for logs; `never` if it is the start of the clock.
+/// Returns the milliseconds since a moment, for logs; `never` for a zero time.
 std::string age_text(TimePoint moment, TimePoint now) {
   if (moment == TimePoint{}) return "never";
   const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - moment);
@@ -42,7 +43,7 @@
       hash_(record_.identity().hash()),
       affinity_hash_(stable_hash(record_.id)) {}
 
-void Runner::list_again(RunnerRecord record) {
+void Runner::relist(RunnerRecord record) {
   record_ = std::move(record);
   listed_ = true;
   leaving_ = false;
@@ -62,9 +63,9 @@
   backlog_tokens_ -= std::min(backlog_tokens_, tokens);
 }
 
-void Runner::end_attempt(AttemptOutcome outcome, TimePoint now, std::uint32_t unread,
+void Runner::end_attempt(AttemptOutcome outcome, TimePoint now, std::uint32_t unprocessed,
                          WorkClass work) {
-  prompt_read(unread);
+  prompt_read(unprocessed);
   --in_flight_;
   if (work == WorkClass::kBatch) --batch_in_flight_;
   switch (outcome) {
@@ -80,15 +81,17 @@
       errors_.count(false, now);
       break;
     case AttemptOutcome::kError:
-      note_error(now);
+      record_error(now);
       break;
     case AttemptOutcome::kNotRun:
-      note_full(now);
+      record_full_rejection(now);
       break;
     case AttemptOutcome::kFailed:
     case AttemptOutcome::kUnreachable: {
-      // What other nodes have tried in vain counts: else each would begin with the shortest pause.
-      failures_ = std::max(failures_, peer_ejections_.failures(last_heard_, last_served_)) + 1;
+      // Failures seen by other nodes count: otherwise each node would begin with the shortest
+      // ejection.
+      failures_ =
+          std::max(failures_, peer_ejections_.failures(last_receive_time_, last_served_)) + 1;
       if (failures_ < kFailuresToEject && outcome == AttemptOutcome::kFailed) break;
       eject(now, false);
       break;
@@ -98,32 +101,34 @@
   }
 }
 
-/// With free places it is full for work of that size; without, or if that is not known, for all.
-void Runner::note_full(TimePoint now) {
-  const bool reported = report_time_ != TimePoint{} && now - report_time_ < kReportFresh;
+/// A runner that has free slots is full only for requests of that size. Without free slots, or if
+/// that is unknown, it is full for all.
+void Runner::record_full_rejection(TimePoint now) {
+  const bool reported = report_time_ != TimePoint{} && now - report_time_ < kReportFullWeightAge;
   if (!reported || report_.running + report_.waiting >= report_.slots) {
-    ejected_until_ = std::max(ejected_until_, now + kFullPause);
+    ejected_until_ = std::max(ejected_until_, now + kFullRejectionPause);
     return;
   }
-  room_.refused(now);
+  memory_.record_rejection(now);
   log_event(Event::kRunnerMemoryFull, {{"runner", record_.id},
-                                       {"held_tokens", std::to_string(room_.held())},
+                                       {"held_tokens", std::to_string(memory_.held_tokens())},
                                        {"running", std::to_string(report_.running)},
                                        {"slots", std::to_string(report_.slots)}});
 }
 
-/// Errors that make the runner suspect eject it, and so does each further one until it has served.
-void Runner::note_error(TimePoint now) {
+/// Ejects the runner if its error rate is high, and again at each further error until it has served
+/// a request.
+void Runner::record_error(TimePoint now) {
   errors_.count(true, now);
   if (!suspect(now)) return;
-  failures_ = std::max(failures_, peer_ejections_.failures(last_heard_, last_served_)) + 1;
+  failures_ = std::max(failures_, peer_ejections_.failures(last_receive_time_, last_served_)) + 1;
   eject(now, true);
 }
 
 void Runner::eject(TimePoint now, bool by_errors) {
   failed_by_errors_ = by_errors;
-  const std::uint32_t doublings = std::min<std::uint32_t>(failures_ - 1, kMostDoublings);
-  const Duration pause = std::min(kFirstEjection * (1U << doublings), kLongestEjection);
+  const std::uint32_t doublings = std::min<std::uint32_t>(failures_ - 1, kMaxEjectionDoublings);
+  const Duration pause = std::min(kInitialEjection * (1U << doublings), kMaxEjection);
   ejected_until_ = now + pause;
   failed_at_ = now;
   log_event(Event::kRunnerEjected, {{"runner", record_.id},
@@ -133,15 +138,15 @@
                                     {"pause_ms", milliseconds_text(pause)}});
 }
 
-bool Runner::own_failure_stands() const {
-  return failed_at_ > (failed_by_errors_ ? last_served_ : last_heard_);
+bool Runner::own_failure_is_current() const {
+  return failed_at_ > (failed_by_errors_ ? last_served_ : last_receive_time_);
 }
 
 bool Runner::ejected(TimePoint now) const {
   if (now < ejected_until_) return true;
-  const bool own_failure = own_failure_stands();
+  const bool own_failure = own_failure_is_current();
   const TimePoint peers_until =
-      peer_ejections_.ejected_until(last_heard_, last_served_, own_failure);
+      peer_ejections_.ejected_until(last_receive_time_, last_served_, own_failure);
   if (now < peers_until || errors_.suspect(now)) return true;
   const bool on_trial = own_failure || peers_until != TimePoint{};
   return on_trial && in_flight_ + peer_in_flight_ > 0;
@@ -158,7 +163,7 @@
 }
 
 std::optional<PeerEjection> Runner::own_ejection(TimePoint now) const {
-  if (now >= ejected_until_ || !own_failure_stands()) return std::nullopt;
+  if (now >= ejected_until_ || !own_failure_is_current()) return std::nullopt;
   return PeerEjection{.failed_at = failed_at_,
                       .until = ejected_until_,
                       .failures = failures_,
@@ -168,25 +173,25 @@
 void Runner::take_report(const LoadReport& report, TimePoint now) {
   report_ = report;
   report_time_ = now;
-  known_at_report_ = in_flight_ + peer_in_flight_ + lent_;
+  known_in_flight_at_report_ = in_flight_ + peer_in_flight_ + lent_;
 }
 
 void Runner::take_zone_load(double load, TimePoint now) {
   zone_load_ = load;
   zone_load_time_ = now;
-  own_at_zone_load_ = in_flight_;
+  own_in_flight_at_zone_load_ = in_flight_;
 }
 
 bool Runner::zone_load_known(TimePoint now) const {
-  return zone_load_time_ != TimePoint{} && now - zone_load_time_ < kZoneLoadLifetime;
+  return zone_load_time_ != TimePoint{} && now - zone_load_time_ < kZoneLoadMaxAge;
 }
 
 bool Runner::load_known(TimePoint now) const {
   if (zone_load_known(now)) return true;
   const bool ever_reported = report_time_ != TimePoint{};
-  const bool ever_answered = last_heard_ != TimePoint{};
+  const bool ever_answered = last_receive_time_ != TimePoint{};
   if (!ever_reported) return ever_answered;
-  return now - report_time_ < kReportTrusted;
+  return now - report_time_ < kReportTrustedAge;
 }
 
 std::string Runner::load_age_text(TimePoint now) const {
@@ -221,16 +226,17 @@
   const double known = in_flight_ + peer_in_flight_ + lent_ + reserved(now);
   double expected = known;
   const Duration age = now - report_time_;
-  if (age < kReportLifetime && report_time_ != TimePoint{}) {
-    const double fading = to_seconds(kReportLifetime - kReportFresh);
-    const double freshness = std::min(1.0, to_seconds(kReportLifetime - age) / fading);
+  if (age < kReportMaxAge && report_time_ != TimePoint{}) {
+    const double fading = to_seconds(kReportMaxAge - kReportFullWeightAge);
+    const double freshness = std::min(1.0, to_seconds(kReportMaxAge - age) / fading);
     const double reported = report_.running + report_.waiting;
-    const double others = std::max(0.0, reported - known_at_report_);
+    const double others = std::max(0.0, reported - known_in_flight_at_report_);
     expected = known + others * freshness;
   }
   const double load = expected / slots();
   if (!zone_load_known(now)) return load;
-  const double begun_since = in_flight_ > own_at_zone_load_ ? in_flight_ - own_at_zone_load_ : 0;
+  const double begun_since =
+      in_flight_ > own_in_flight_at_zone_load_ ? in_flight_ - own_in_flight_at_zone_load_ : 0;
   return std::max(load, zone_load_ + begun_since / slots());
 }
 
@@ -244,19 +250,19 @@
   if (runner.record().identity() == record.identity()) {
     const bool same_service = runner.record().service == record.service;
     runner.set_record(std::move(record));
-    if (!same_service) index();
+    if (!same_service) rebuild_indexes();
     return;
   }
-  runner.unlist();
+  runner.mark_unlisted();
   runners_.erase(found);
   add(std::move(record));
-  index();
+  rebuild_indexes();
 }
 
 void RunnerRegistry::add(RunnerRecord record) {
-  std::shared_ptr<Runner> runner = take_lapsed(record.identity());
+  std::shared_ptr<Runner> runner = take_retired(record.identity());
   if (runner) {
-    runner->list_again(std::move(record));
+    runner->relist(std::move(record));
   } else {
     runner = std::make_shared<Runner>(std::move(record));
   }
@@ -267,38 +273,38 @@
   ++revision_;
 }
 
-std::shared_ptr<Runner> RunnerRegistry::take_lapsed(const RunnerIdentity& identity) {
-  const auto found = lapsed_.find(identity.id);
-  if (found == lapsed_.end()) return nullptr;
+std::shared_ptr<Runner> RunnerRegistry::take_retired(const RunnerIdentity& identity) {
+  const auto found = retired_.find(identity.id);
+  if (found == retired_.end()) return nullptr;
   std::shared_ptr<Runner> runner = std::move(found->second.runner);
-  lapsed_.erase(found);
+  retired_.erase(found);
   return runner->record().identity() == identity ? runner : nullptr;
 }
 
 void RunnerRegistry::lapse(const std::shared_ptr<Runner>& runner) {
-  runner->unlist();
-  lapsed_[runner->record().id] = {runner, monotonic_now()};
+  runner->mark_unlisted();
+  retired_[runner->record().id] = {runner, monotonic_now()};
 }
 
-void RunnerRegistry::forget_long_lapsed() {
+void RunnerRegistry::drop_expired() {
   const TimePoint now = monotonic_now();
-  std::erase_if(lapsed_, [now](const auto& entry) {
-    const Lapsed& lapsed = entry.second;
-    return lapsed.runner->in_flight() == 0 && now - lapsed.since > kLapsedLifetime;
+  std::erase_if(retired_, [now](const auto& entry) {
+    const Retired& lapsed = entry.second;
+    return lapsed.runner->in_flight() == 0 && now - lapsed.since > kRetiredLifetime;
   });
 }
 
 void RunnerRegistry::remove(const std::string& id) {
-  forget_long_lapsed();
+  drop_expired();
   const auto found = runners_.find(id);
   if (found == runners_.end()) return;
   lapse(found->second);
   runners_.erase(found);
-  index();
+  rebuild_indexes();
 }
 
 void RunnerRegistry::replace_all(std::vector<RunnerRecord> records) {
-  forget_long_lapsed();
+  drop_expired();
   std::set<std::string> ids;
   for (auto& record : records) {
     ids.insert(record.id);
@@ -309,10 +315,10 @@
     lapse(entry.second);
     return true;
   });
-  index();
+  rebuild_indexes();
 }
 
-void RunnerRegistry::index() {
+void RunnerRegistry::rebuild_indexes() {
   ++revision_;
   by_service_.clear();
   by_hash_.clear();
--- a/src/routing/runner_room.cc
+++ b/src/routing/runner_room.cc
@@ -7,27 +7,28 @@
 namespace stoathold {
 namespace {
 
-/// For which a refusal counts: as long as a load report counts in full.
-constexpr Duration kRefusalFresh = std::chrono::milliseconds(500);
+/// Time for which a rejection counts; load reports have full weight for the same time.
+constexpr Duration kRejectionLifetime = std::chrono::milliseconds(500);
 
 }  // namespace
 
-void RunnerRoom::refused(TimePoint now) {
-  too_much_ = now < known_until_ ? std::min(too_much_, held_) : held_;
-  known_until_ = now + kRefusalFresh;
+void RunnerMemoryEstimate::record_rejection(TimePoint now) {
+  rejected_amount_ =
+      now < evidence_expiry_ ? std::min(rejected_amount_, held_tokens_) : held_tokens_;
+  evidence_expiry_ = now + kRejectionLifetime;
 }
 
-bool RunnerRoom::fits(std::uint32_t tokens, TimePoint now) const {
-  return now >= known_until_ || held_ + tokens < too_much_;
+bool RunnerMemoryEstimate::fits(std::uint32_t tokens, TimePoint now) const {
+  return now >= evidence_expiry_ || held_tokens_ + tokens < rejected_amount_;
 }
 
 RunnerHold::RunnerHold(std::shared_ptr<Runner> runner, std::uint32_t tokens)
     : runner_(std::move(runner)), tokens_(tokens) {
-  runner_->room().take(tokens_);
+  runner_->memory().add(tokens_);
 }
 
 RunnerHold::~RunnerHold() {
-  runner_->room().give_back(tokens_);
+  runner_->memory().remove(tokens_);
 }
 
 }  // namespace stoathold
--- a/src/routing/runner_room.h
+++ b/src/routing/runner_room.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a runner is taken to hold for this node, and how much more it may be given. Pure.
+/// Estimates how much more work fits into a runner's memory. Pure.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,31 @@
 
 class Runner;
 
-/// A refusal as full by a runner that has free places is evidence of its memory: until it is too
-/// old, no work goes there that would make it hold as much again. Smaller work does. How much
-/// memory a runner has is not asked for. Used on one thread.
-class RunnerRoom {
+/// If a runner rejects a request as full although it has free slots, its memory is full. Until that
+/// evidence expires, no request is sent that would bring the runner to the same amount of prompt
+/// tokens, while smaller requests still are. Runners are not asked for the size of their memory.
+/// Used on one thread.
+class RunnerMemoryEstimate {
  public:
-  /// A request with so many prompt tokens was sent there, or has ended.
-  void take(std::uint32_t tokens) { held_ += tokens; }
-  void give_back(std::uint32_t tokens) { held_ -= tokens; }
-  /// Prompt tokens that were sent there and whose requests have not ended.
-  [[nodiscard]] std::uint64_t held() const { return held_; }
-  /// The runner turned away a request that still counts as held, though it has free places.
-  void refused(TimePoint now);
-  /// Whether a request with so many tokens may find room.
+  /// Adds, or removes, a request with this many prompt tokens.
+  void add(std::uint32_t tokens) { held_tokens_ += tokens; }
+  void remove(std::uint32_t tokens) { held_tokens_ -= tokens; }
+  /// Returns the prompt tokens of this node's unfinished requests at the runner.
+  [[nodiscard]] std::uint64_t held_tokens() const { return held_tokens_; }
+  /// The runner rejected a request, which is still included in `held_tokens`, although it has free
+  /// slots.
+  void record_rejection(TimePoint now);
+  /// Returns whether a request with this many tokens is expected to fit.
   [[nodiscard]] bool fits(std::uint32_t tokens, TimePoint now) const;
 
  private:
-  std::uint64_t held_ = 0;
-  std::uint64_t too_much_ = 0;  ///< Held when it refused, with the request that it refused.
-  TimePoint known_until_{};
+  std::uint64_t held_tokens_ = 0;
+  /// Tokens held at the rejection, with those of the rejected request.
+  std::uint64_t rejected_amount_ = 0;
+  TimePoint evidence_expiry_{};
 };
 
-/// Counts a request as held by a runner for as long as it lives.
+/// Includes a request in a runner's memory estimate for the lifetime of this object.
 class RunnerHold {
  public:
   RunnerHold(std::shared_ptr<Runner> runner, std::uint32_t tokens);
--- a/src/routing/runner_selector.cc
+++ b/src/routing/runner_selector.cc
@@ -8,33 +8,35 @@
 namespace stoathold {
 namespace {
 
-/// Load up to which a runner of the own zone is preferred to others.
+/// Load below which runners of the own zone are preferred to those of other zones.
 constexpr double kZoneSpillLoad = 0.9;
-/// Load, as its own zone reported it, up to which a runner of another zone takes work: what others
-/// send there at the same moment is not known yet.
+/// Load, as reported by its own zone, below which a runner of another zone receives work. The limit
+/// is low because the work that other nodes send there at the same time is not known yet.
 constexpr double kRemoteLoadLimit = 0.75;
-/// Requests at runners of other zones whose load is not known, over all of them.
-constexpr std::size_t kSpillTrials = 2;
-/// Prompt tokens that weigh as much as a runner's whole load: both make a first token come later.
-constexpr double kTokensPerLoad = 6000;
-/// Costs closer than this, in tokens, count as equal; the choice between them is random.
-constexpr double kEqualCost = 150;
+/// Limit on concurrent probe requests to runners of other zones whose load is unknown, over all
+/// such runners.
+constexpr std::size_t kMaxSpillProbes = 2;
+/// Prompt tokens equivalent to a load of 1: both delay the first token.
+constexpr double kTokensPerUnitLoad = 6000;
+/// Costs that differ by less than this many tokens are ties, broken at random.
+constexpr double kCostTieMargin = 150;
 
-/// A runner to which a connection is kept is taken for one whose answer is predicted to begin this
-/// part sooner: a new connection takes a round trip, and one of the few that a runner allows.
-constexpr double kConnectionWorth = 0.15;
-/// A runner to which a connection is kept is taken although others have so much less to do, as long
-/// as its own load is low: with one request more of 8 a runner's steps take 2 to 4 in 100 longer.
-constexpr double kConnectionCost = 0.3 * kTokensPerLoad;
-constexpr double kConnectionLoad = 0.7;
+/// A runner with a reusable connection is treated as if its first event were predicted this
+/// fraction sooner: a new connection takes a round trip and counts against the few that a runner
+/// allows.
+constexpr double kConnectionReuseBonus = 0.15;
+/// A runner with a reusable connection is preferred at up to this much extra cost while its own
+/// load is low. One more request on a runner with 8 makes its steps 2 to 4% longer.
+constexpr double kConnectionReuseMaxCost = 0.3 * kTokensPerUnitLoad;
+constexpr double kConnectionReuseMaxLoad = 0.7;
 
 struct Candidate {
   std::shared_ptr<Runner> runner;
   double load = 0;
-  /// In prompt tokens (those ahead, those of the request, and the load), or, if times are
+  /// In prompt tokens (backlog, the request's own, and load converted to tokens), or, if latency is
   /// predicted, in microseconds to the first event.
   double cost = 0;
-  std::uint32_t tokens_to_read = 0;
+  std::uint32_t uncached_prompt_tokens = 0;
   bool warm = false;
   std::optional<ExpectedTimes> expected = std::nullopt;
 };
@@ -44,44 +46,43 @@
          request.excluded.end();
 }
 
-/// Runners that may be tried. Ejected ones, and those without room for the request, are taken only
-/// when no other is left.
+/// Returns the runners that may be tried. Ejected runners, and those without memory for the
+/// request, are returned only if there are no others.
 std::vector<Candidate> collect(const std::vector<std::shared_ptr<Runner>>& runners,
                                const SelectionRequest& request, TimePoint now) {
   std::vector<Candidate> healthy;
   std::vector<Candidate> ejected;
   for (const auto& runner : runners) {
     if (!runner->available() || is_excluded(request, *runner)) continue;
-    const bool spared = runner->ejected(now) || !runner->room().fits(request.prompt_tokens, now);
+    const bool spared = runner->ejected(now) || !runner->memory().fits(request.prompt_tokens, now);
     auto& target = spared ? ejected : healthy;
     target.push_back({runner, runner->load(now)});
   }
   return healthy.empty() ? ejected : healthy;
 }
 
-/// Leaves out the runners that are slow beyond explanation. One that was so a moment ago gets one
-/// request at a time.
-void avoid_slow(std::vector<Candidate>& candidates, TimePoint now) {
+/// Drops runners whose latency is an outlier. A runner on probation gets one request at a time.
+void drop_latency_outliers(std::vector<Candidate>& candidates, TimePoint now) {
   const bool any = std::any_of(candidates.begin(), candidates.end(), [now](const auto& candidate) {
-    return candidate.runner->speed().slow_answers().is_suspect(now);
+    return candidate.runner->speed().latency_outliers().is_suspect(now);
   });
   if (!any) return;
-  std::vector<SlowCounts> counts;
+  std::vector<OutlierCounts> counts;
   counts.reserve(candidates.size());
   for (const Candidate& candidate : candidates) {
-    counts.push_back(candidate.runner->speed().slow_answers().all(now));
+    counts.push_back(candidate.runner->speed().latency_outliers().all(now));
   }
-  const std::vector<SlowVerdict> verdicts = judge_slow(counts);
+  const std::vector<OutlierVerdict> verdicts = detect_outliers(counts);
   std::vector<Candidate> left;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
-    const bool busy_trial = verdicts[i] == SlowVerdict::kOnTrial && candidates[i].load > 0;
-    if (verdicts[i] != SlowVerdict::kAvoided && !busy_trial) left.push_back(candidates[i]);
+    const bool busy_trial = verdicts[i] == OutlierVerdict::kOnProbation && candidates[i].load > 0;
+    if (verdicts[i] != OutlierVerdict::kAvoided && !busy_trial) left.push_back(candidates[i]);
   }
   candidates = std::move(left);
 }
 
-/// Keeps the runners at which one batch item less makes room for one request. They count as loaded
-/// as if all batch items there were gone, so that the one with most of them is taken.
+/// Keeps the full runners of the zone where preempting one batch item frees a slot. Their load is
+/// computed as if all batch items were gone, so that the runner with most of them is selected.
 void keep_preemptible(std::vector<Candidate>& candidates, const std::string& zone) {
   std::erase_if(candidates, [&](const Candidate& candidate) {
     const Runner& runner = *candidate.runner;
@@ -95,19 +96,19 @@
   }
 }
 
-/// Whether a slot of another zone was lent for it, whatever its load.
+/// Returns whether the candidate has an unused slot borrowed from another zone, whatever its load.
 bool is_lent(const Candidate& candidate, const SelectionRequest& request, TimePoint now) {
   const Runner& runner = *candidate.runner;
   return request.borrowed_only && runner.record().zone != request.zone &&
          runner.unused_borrowed(now) > 0;
 }
 
-/// Nodes of other zones use a runner there without telling this node. So such a runner takes work
-/// only if it has reported its load just now, or as one of few trials that make it do so.
+/// Nodes of other zones use their runners without informing this node. A remote runner therefore
+/// receives work only with a recent load report, or as one of a few probes that make it report.
 bool may_spill_to(const Candidate& candidate, std::size_t trials, TimePoint now) {
   if (candidate.runner->zone_load_known(now)) return candidate.load < kRemoteLoadLimit;
   if (candidate.runner->load_known(now)) return true;
-  return candidate.runner->in_flight() == 0 && trials < kSpillTrials;
+  return candidate.runner->in_flight() == 0 && trials < kMaxSpillProbes;
 }
 
 std::vector<Candidate> prefer_zone(const std::vector<Candidate>& candidates,
@@ -131,12 +132,12 @@
   return remote;
 }
 
-/// Runners of the own zone with room, whatever their load: a slot of another zone costs a loan and
-/// bytes between zones, and is wanted only for what would be late. Zones that do not answer are
-/// tried as without loans.
-std::vector<Candidate> prefer_own_zone(const RunnerRegistry& registry,
-                                       const std::vector<Candidate>& candidates,
-                                       const SelectionRequest& request, TimePoint now) {
+/// Prefers runners of the own zone whatever their load: a slot of another zone costs a loan and
+/// inter-zone traffic, and is worth it only for requests that would otherwise be late. Runners of
+/// zones that do not answer loan requests are used as without loans.
+std::vector<Candidate> prefer_own_zone_to_loans(const RunnerRegistry& registry,
+                                                const std::vector<Candidate>& candidates,
+                                                const SelectionRequest& request, TimePoint now) {
   std::vector<Candidate> local;
   std::vector<Candidate> unlent;
   std::vector<Candidate> lent;
@@ -154,25 +155,25 @@
   return lent.empty() ? prefer_zone(unlent, request.zone, now) : lent;
 }
 
-/// Leaves the runners that it is this node's turn to give batch items to.
-void keep_dealt(std::vector<Candidate>& candidates, const SelectionRequest& request,
-                TimePoint now) {
+/// Keeps the runners at which this node may currently place batch items.
+void keep_assigned(std::vector<Candidate>& candidates, const SelectionRequest& request,
+                   TimePoint now) {
   const std::uint64_t service = stable_hash(request.service);
   std::erase_if(candidates, [&](const Candidate& candidate) {
     const std::uint64_t runner = candidate.runner->hash();
     if (candidate.load >= request.load_limit) {
-      request.turns->note_full(runner);
+      request.turns->record_no_free_slot(runner);
       return true;
     }
     if (candidate.runner->record().zone == request.zone) {
       return !request.turns->may_take(service, request.urgency, runner, now);
     }
-    return !request.turns->is_first(service, request.urgency, runner, now);
+    return !request.turns->is_first_in_order(service, request.urgency, runner, now);
   });
 }
 
-/// Rendezvous hashing: the same prefix ranks the same runner highest at every node of a zone, so
-/// that one runner keeps it.
+/// Rendezvous hashing: every node of a zone ranks the same runner highest for a prefix, so that
+/// only one runner caches it.
 const Runner* warm_runner(const std::vector<Candidate>& candidates,
                           const SelectionRequest& request) {
   if (request.affinity_key == 0) return nullptr;
@@ -190,41 +191,41 @@
   const std::uint32_t shared = std::min(request.shared_tokens, request.prompt_tokens);
   for (auto& candidate : candidates) {
     candidate.warm = candidate.runner.get() == warm;
-    candidate.tokens_to_read = request.prompt_tokens - (candidate.warm ? shared : 0);
-    candidate.cost = candidate.runner->total_backlog() + candidate.tokens_to_read +
-                     candidate.load * kTokensPerLoad;
+    candidate.uncached_prompt_tokens = request.prompt_tokens - (candidate.warm ? shared : 0);
+    candidate.cost = candidate.runner->total_backlog() + candidate.uncached_prompt_tokens +
+                     candidate.load * kTokensPerUnitLoad;
   }
 }
 
-/// How well an answer would be in time.
+/// How well a response would meet its objectives.
 enum class Timeliness : std::uint8_t {
-  kAlways,  ///< Also when the runner's machine is at its slowest.
-  kNow,     ///< As things stand.
+  kOnTimeAtSlowest,  ///< Even when the runner's machine is at its slowest.
+  kOnTimeNow,        ///< At the current speed of the runner.
   kLate,
 };
 
-Timeliness online_timeliness(const ExpectedTimes& expected, const AnswerNeeds& needs,
+Timeliness online_timeliness(const ExpectedTimes& expected, const LatencyObjectives& needs,
                              TimePoint now) {
   const Duration gap = needs.event_gap_objective;
   if (now + expected.first_event > needs.first_event_due) return Timeliness::kLate;
-  if (gap.count() == 0 || expected.longest_gap <= gap) return Timeliness::kAlways;
-  return expected.event_gap <= gap ? Timeliness::kNow : Timeliness::kLate;
+  if (gap.count() == 0 || expected.longest_gap <= gap) return Timeliness::kOnTimeAtSlowest;
+  return expected.event_gap <= gap ? Timeliness::kOnTimeNow : Timeliness::kLate;
 }
 
 void predict(std::vector<Candidate>& candidates, const SelectionRequest& request, TimePoint now) {
   for (auto& candidate : candidates) {
     const Runner& runner = *candidate.runner;
-    const RunnerWork work{
-        .unread_tokens = static_cast<double>(runner.total_backlog() + candidate.tokens_to_read),
-        .load = candidate.load};
+    const RunnerWork work{.pending_prompt_tokens = static_cast<double>(
+                              runner.total_backlog() + candidate.uncached_prompt_tokens),
+                          .load = candidate.load};
     candidate.expected = request.speeds->expected(request.needs.route, runner.speed(), work, now);
     candidate.cost = static_cast<double>(candidate.expected->first_event.count());
   }
 }
 
-/// Leaves those where the answer will be in time, if there are any.
-void keep_timely(std::vector<Candidate>& candidates, const SelectionRequest& request,
-                 TimePoint now) {
+/// Keeps the runners with the best timeliness.
+void keep_most_timely(std::vector<Candidate>& candidates, const SelectionRequest& request,
+                      TimePoint now) {
   const auto timeliness = [&](const Candidate& candidate) {
     return online_timeliness(*candidate.expected, request.needs, now);
   };
@@ -237,19 +238,19 @@
                 [&](const Candidate& candidate) { return timeliness(candidate) > most; });
 }
 
-/// Returns the one with the least cost of those to which a connection is kept, or, without any,
-/// that which this node prefers, so that later requests find a connection; null where load
-/// decides.
-const Candidate* usual_runner(const std::vector<Candidate>& candidates,
-                              const SelectionRequest& request, double least_cost) {
+/// Returns the lowest_cost lightly loaded runner with a reusable connection. Without one, returns
+/// the runner that this node prefers by hash, so that later requests find a connection. Returns
+/// null if no runner qualifies and load decides.
+const Candidate* sticky_runner(const std::vector<Candidate>& candidates,
+                               const SelectionRequest& request, double least_cost) {
   const Candidate* connected = nullptr;
   const Candidate* preferred = nullptr;
   const auto rank = [&](const Candidate& candidate) {
     return mix_hashes(request.node, candidate.runner->hash());
   };
   for (const auto& candidate : candidates) {
-    const bool low = candidate.load < kConnectionLoad;
-    if (!low || candidate.cost > least_cost + kConnectionCost) continue;
+    const bool low = candidate.load < kConnectionReuseMaxLoad;
+    if (!low || candidate.cost > least_cost + kConnectionReuseMaxCost) continue;
     if (preferred == nullptr || rank(candidate) > rank(*preferred)) preferred = &candidate;
     if (connected != nullptr && connected->cost <= candidate.cost) continue;
     if (request.connected && request.connected(*candidate.runner)) connected = &candidate;
@@ -257,7 +258,7 @@
   return connected != nullptr ? connected : preferred;
 }
 
-/// Leaves only those to which a connection is kept, if there are any.
+/// Drops the runners without a reusable connection, unless none has one.
 void prefer_connected(std::vector<const Candidate*>& candidates, const SelectionRequest& request) {
   if (!request.connected) return;
   std::vector<const Candidate*> connected;
@@ -267,31 +268,31 @@
   if (!connected.empty()) candidates = std::move(connected);
 }
 
-const Candidate& cheapest(const std::vector<Candidate>& candidates,
-                          const SelectionRequest& request) {
+const Candidate& lowest_cost(const std::vector<Candidate>& candidates,
+                             const SelectionRequest& request) {
   const auto least = std::min_element(
       candidates.begin(), candidates.end(),
       [](const Candidate& left, const Candidate& right) { return left.cost < right.cost; });
   if (request.keep_connections) {
-    const Candidate* kept = usual_runner(candidates, request, least->cost);
+    const Candidate* kept = sticky_runner(candidates, request, least->cost);
     if (kept != nullptr) return *kept;
   }
   std::vector<const Candidate*> equal;
   for (const auto& candidate : candidates) {
-    if (candidate.cost <= least->cost + kEqualCost) equal.push_back(&candidate);
+    if (candidate.cost <= least->cost + kCostTieMargin) equal.push_back(&candidate);
   }
   prefer_connected(equal, request);
   return *equal[process_random().below(equal.size())];
 }
 
-/// Returns the better one of two that are drawn at random, or one to which a connection is kept
-/// if it is about as good.
+/// Returns the better of two runners drawn at random, or one with a reusable connection that is
+/// about as good.
 ///
-/// Other nodes choose at the same moment from reports that are some 10 ms old. If all took the
-/// best runner they know of, they would fill the same few beyond their places: the more nodes,
-/// the more.
-const Candidate& better_of_two(const std::vector<Candidate>& candidates,
-                               const SelectionRequest& request) {
+/// Other nodes select at the same time from reports that are some 10 ms old. If all of them took
+/// the best known runner, they would overload the same few runners, the more so the more nodes
+/// there are.
+const Candidate& power_of_two_choices(const std::vector<Candidate>& candidates,
+                                      const SelectionRequest& request) {
   const std::size_t first = process_random().below(candidates.size());
   const std::size_t others = candidates.size() - 1;
   const std::size_t second = others == 0 ? first : process_random().below(others);
@@ -299,7 +300,7 @@
   const Candidate& right = candidates[second < first || others == 0 ? second : second + 1];
   const Candidate& better = left.cost <= right.cost ? left : right;
   if (!request.connected) return better;
-  const double most = better.cost * (1 + kConnectionWorth);
+  const double most = better.cost * (1 + kConnectionReuseBonus);
   std::vector<const Candidate*> as_good;
   for (const Candidate& candidate : candidates) {
     if (candidate.cost > most || !request.connected(*candidate.runner)) continue;
@@ -308,12 +309,12 @@
   return as_good.empty() ? better : *as_good[process_random().below(as_good.size())];
 }
 
-/// Chooses by predicted times.
+/// Selects by predicted latency.
 const Candidate& choose_by_time(std::vector<Candidate>& candidates, const SelectionRequest& request,
                                 TimePoint now) {
   predict(candidates, request, now);
-  if (request.work == WorkClass::kOnline) keep_timely(candidates, request, now);
-  return better_of_two(candidates, request);
+  if (request.work == WorkClass::kOnline) keep_most_timely(candidates, request, now);
+  return power_of_two_choices(candidates, request);
 }
 
 }  // namespace
@@ -328,9 +329,10 @@
         runners.empty() ? SelectionFailure::kUnknownService : SelectionFailure::kAllExcluded;
     return selection;
   }
-  if (request.speeds != nullptr && request.work == WorkClass::kOnline) avoid_slow(candidates, now);
+  if (request.speeds != nullptr && request.work == WorkClass::kOnline)
+    drop_latency_outliers(candidates, now);
   if (request.preempt_batch) keep_preemptible(candidates, request.zone);
-  if (request.turns != nullptr) keep_dealt(candidates, request, now);
+  if (request.turns != nullptr) keep_assigned(candidates, request, now);
   if (request.load_limit > 0) {
     std::erase_if(candidates, [&](const Candidate& candidate) {
       return candidate.load >= request.load_limit && !is_lent(candidate, request, now);
@@ -341,19 +343,19 @@
     }
   }
   std::vector<Candidate> local = request.borrowed_only
-                                     ? prefer_own_zone(registry, candidates, request, now)
+                                     ? prefer_own_zone_to_loans(registry, candidates, request, now)
                                      : prefer_zone(candidates, request.zone, now);
   if (local.empty()) {
     selection.failure = SelectionFailure::kAllBusy;
     return selection;
   }
   compute_costs(local, request);
-  // As few as they are after `choose_by_time` has left some out, they were all to choose from.
+  // Counted before `choose_by_time` drops candidates: all of them were available to choose from.
   selection.candidates = static_cast<std::uint32_t>(local.size());
   const Candidate& chosen =
-      request.speeds == nullptr ? cheapest(local, request) : choose_by_time(local, request, now);
+      request.speeds == nullptr ? lowest_cost(local, request) : choose_by_time(local, request, now);
   selection.runner = chosen.runner;
-  selection.tokens_to_read = chosen.tokens_to_read;
+  selection.tokens_to_read = chosen.uncached_prompt_tokens;
   selection.load = chosen.load;
   selection.backlog_tokens = chosen.runner->total_backlog();
   selection.warm = chosen.warm;
--- a/src/routing/runner_selector.h
+++ b/src/routing/runner_selector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Chooses the runner of an attempt: available and healthy, near, warm for the prompt, not loaded.
+/// Selects the runner of an attempt by availability, health, zone, prefix affinity and load.
 #pragma once
 
 #include <cstdint>
@@ -16,67 +16,69 @@
 
 namespace stoathold {
 
-/// When an answer is in time.
-struct AnswerNeeds {
-  std::uint64_t route = 0;          ///< Hash of its name.
-  TimePoint first_event_due{};      ///< Online: the first event is in time until then.
-  Duration event_gap_objective{0};  ///< Longest time between events that is in time; 0: none.
+/// Latency objectives that a response has to meet.
+struct LatencyObjectives {
+  std::uint64_t route = 0;          ///< Hash of the route's name.
+  TimePoint first_event_due{};      ///< Online: latest on-time first event.
+  Duration event_gap_objective{0};  ///< Longest on-time gap between events; 0: none.
 };
 
-/// What a choice depends on.
+/// The inputs of a selection.
 struct SelectionRequest {
   std::string service;
-  std::string zone;                 ///< Of this node; its runners are preferred.
-  std::uint64_t affinity_key = 0;   ///< Hash of the shared prompt prefix; 0: none.
-  std::uint32_t prompt_tokens = 0;  ///< Of the whole prompt.
-  std::uint32_t shared_tokens = 0;  ///< Of its shared prefix; a warm runner need not read them.
-  double load_limit = 0;            ///< Runners at or above this load are left out; 0: no limit.
-  std::vector<std::uint64_t> excluded;  ///< Starts of runners tried before, by `Runner::hash`.
-  /// Runners of other zones are taken on borrowed slots only.
+  std::string zone;                     ///< Zone of this node, whose runners are preferred.
+  std::uint64_t affinity_key = 0;       ///< Hash of the shared prompt prefix; 0: none.
+  std::uint32_t prompt_tokens = 0;      ///< Of the whole prompt.
+  std::uint32_t shared_tokens = 0;      ///< Of its shared prefix, which a warm runner has cached.
+  double load_limit = 0;                ///< Runners at or above this load are skipped; 0: no limit.
+  std::vector<std::uint64_t> excluded;  ///< `Runner::hash` of the runners tried before.
+  /// Use runners of other zones only with borrowed slots.
   bool borrowed_only = false;
-  /// Only runners without a free slot at which a batch item can be made to give one back.
+  /// Consider only full runners at which a batch item can be preempted.
   bool preempt_batch = false;
-  /// Whether a connection to a runner is kept that the request may use. Among runners that are as
-  /// good, such a one is taken: a new connection costs a round trip, a moment of one of the
-  /// runner's places, and one of the few that it allows. Null: none is kept.
+  /// Returns whether the request may reuse a connection to a runner. Among equally good runners
+  /// such a one is preferred: a new connection costs a round trip, occupies one of the runner's
+  /// slots for a moment, and counts against the few connections that a runner allows. Null: no
+  /// connections to reuse.
   std::function<bool(const Runner&)> connected;
-  /// What is known of the times of answers. Null: runners are chosen by load alone.
+  /// Latency predictions. Null: runners are selected by load alone.
   const SpeedModel* speeds = nullptr;
-  WorkClass work = WorkClass::kOnline;  ///< Counts if `speeds` is given.
-  AnswerNeeds needs;                    ///< The same.
-  /// Batch: whose turn it is at which runner. Null: every node may take all that it sees.
+  WorkClass work = WorkClass::kOnline;  ///< Used only if `speeds` is set.
+  LatencyObjectives needs;              ///< Used only if `speeds` is set.
+  /// Batch: decides which node may use which runner. Null: this node may use all runners.
   BatchTurns* turns = nullptr;
-  ItemUrgency urgency = ItemUrgency::kInTime;  ///< Counts if `turns` is given.
-  bool keep_connections = false;  ///< A kept connection outweighs a somewhat lesser load.
-  std::uint64_t node = 0;         ///< This node, by which it keeps to a few of the runners.
+  ItemUrgency urgency = ItemUrgency::kInTime;  ///< Used only with `batch_arbiter`.
+  bool keep_connections = false;  ///< Prefer a reusable connection to a slightly lower load.
+  std::uint64_t node = 0;         ///< This node; determines which few runners it prefers.
 };
 
-/// Why there is no runner.
+/// Why no runner was selected.
 enum class SelectionFailure : std::uint8_t {
   kNone,
-  kUnknownService,  ///< No runner of the service is known.
-  kAllExcluded,     ///< Every one was tried, is leaving or is ejected.
-  kAllBusy,         ///< Every one is above the load limit.
+  kUnknownService,
+  kAllExcluded,  ///< Every runner was tried before, is shutting down or is ejected.
+  kAllBusy,      ///< Every runner is above the load limit.
 };
 
-/// The choice and what decided it.
+/// The selected runner and the inputs of the decision.
 struct Selection {
-  std::shared_ptr<Runner> runner;  ///< Null if there is none.
+  std::shared_ptr<Runner> runner;  ///< Null if none was found.
   SelectionFailure failure = SelectionFailure::kNone;
-  std::uint32_t tokens_to_read = 0;       ///< Prompt tokens that the runner is expected to read.
-  std::uint32_t candidates = 0;           ///< Runners it was chosen from.
-  double load = 0;                        ///< Of the runner, before this request.
-  std::uint32_t backlog_tokens = 0;       ///< Prompt tokens unread there, before this request.
-  bool warm = false;                      ///< It is the one that keeps the prompt's prefix.
-  std::optional<ExpectedTimes> expected;  ///< Times of the answer there, if they were predicted.
+  std::uint32_t tokens_to_read = 0;  ///< Prompt tokens that the runner is expected to process.
+  std::uint32_t candidates = 0;      ///< Number of runners to choose from.
+  double load = 0;                   ///< Load of the runner before this request.
+  std::uint32_t backlog_tokens = 0;  ///< Unprocessed prompt tokens there before this request.
+  bool warm = false;                 ///< The runner is the one that caches the prompt's prefix.
+  std::optional<ExpectedTimes> expected;  ///< Predicted latency, if predictions were available.
 
-  /// What decides the times of the answer, beside the runner.
+  /// Returns the load-dependent inputs of the latency prediction.
   [[nodiscard]] RunnerWork runner_work() const {
-    return {.unread_tokens = static_cast<double>(backlog_tokens + tokens_to_read), .load = load};
+    return {.pending_prompt_tokens = static_cast<double>(backlog_tokens + tokens_to_read),
+            .load = load};
   }
 };
 
-/// Selects a runner; pure but for tie breaking.
+/// Selects a runner. Its only side effects are random tie breaking and updates of `batch_arbiter`.
 Selection select_runner(const RunnerRegistry& registry, const SelectionRequest& request,
                         TimePoint now);
 
--- a/src/routing/runner_speed.h
+++ b/src/routing/runner_speed.h
@@ -1,7 +1,8 @@
 /// @file
-/// How fast runners work: what they report of it, and what this node learns from their answers.
+/// Latency prediction: the speed that runners report, and what this node learns from their
+/// responses.
 ///
-/// Pure: no clock, no sockets. Used on one thread.
+/// The clock is passed in; performs no I/O. Used on one thread.
 #pragma once
 
 #include <array>
@@ -16,90 +17,93 @@
 
 namespace stoathold {
 
-/// Least slowness that a runner may report, in 100ths of the usual time: ten times as fast. Less
-/// would let one false figure draw all work to a runner.
+/// Least slowness that a runner may report, in percent of the usual time: ten times as fast. A
+/// smaller one would let a single false report attract all work to a runner.
 inline constexpr std::uint32_t kLeastSlownessPercent = 10;
-/// Greatest: work of a second takes 50. More does not differ from a runner that stands still, for
-/// which there are timeouts.
+/// Greatest slowness that a runner may report: one second of work takes 50. A slower runner does
+/// not differ from one that hangs, for which there are timeouts.
 inline constexpr std::uint32_t kMostSlownessPercent = 5000;
 
-/// Returns whether a runner may report that slowness.
+/// Returns whether a reported slowness is in range.
 constexpr bool is_true_slowness(std::uint64_t percent) {
   return percent >= kLeastSlownessPercent && percent <= kMostSlownessPercent;
 }
 
-/// What decides, beside the runner, how long an answer takes there.
+/// The load-dependent inputs of a latency prediction.
 struct RunnerWork {
-  double unread_tokens = 0;  ///< Of prompts there, with those of the request.
-  double load = 0;           ///< Requests there per place, before the request.
+  /// Unprocessed prompt tokens at the runner, with those of the request.
+  double pending_prompt_tokens = 0;
+  double load = 0;  ///< Requests per slot, without the request.
 };
 
-/// Predicted times of an answer.
+/// Predicted latency of a response.
 struct ExpectedTimes {
-  Duration first_event{0};  ///< From the sending to the first event.
-  Duration event_gap{0};    ///< From one event to the next, once the runner is full.
-  Duration longest_gap{0};  ///< The same, when the runner's machine is at its slowest.
+  Duration first_event{0};  ///< From sending to the first event.
+  Duration event_gap{0};    ///< Between events while the runner is full.
+  Duration longest_gap{0};  ///< The same at the slowest speed of the runner's machine.
 };
 
-/// What is known of one start of a runner.
+/// Speed of one incarnation of a runner.
 class RunnerSpeed {
  public:
-  /// @param percent a true slowness.
-  /// @param reported when the runner said so; what is older than the last report counts nothing.
-  /// @param own whether it said so to this node, which others should know.
+  /// Applies a slowness report of the runner.
+  /// @param percent a valid slowness.
+  /// @param reported time of the report; reports older than the last one are ignored.
+  /// @param own whether this node received it from the runner, and should share it with other
+  /// nodes.
   void take_slowness(std::uint32_t percent, TimePoint reported, bool own);
-  /// Returns the time that work takes there now as a multiple of the usual.
-  /// A report fades with its age to the runner's own mean: runners built slower report more for
-  /// good.
-  /// @param usual mean multiple of all runners, for one that has reported little.
+  /// Returns the current time of work there as a multiple of the usual time. The last report fades
+  /// with its age to the runner's own mean, since runners that are slower by design always report
+  /// more.
+  /// @param usual mean slowness of all runners, assumed for a runner with few reports.
   [[nodiscard]] double slowness(double usual, TimePoint now) const;
 
-  /// An answer took so many times as long as the mean runner's would have.
+  /// Learns from a response that took `ratio` times as long as the mean runner's would have.
   void learn(double ratio);
-  /// Another node has learned that.
-  void take_peer(double relative_time, std::uint32_t samples);
-  /// Returns the time that work takes there as a multiple of the mean runner's, slowness aside.
+  /// Applies the relative time that another node has learned.
+  void apply_peer_relative_time(double relative_time, std::uint32_t samples);
+  /// Returns the time of work there relative to the mean runner, apart from slowness.
   [[nodiscard]] double relative_time() const;
 
-  /// Returns what this node itself knows, to share it with others.
+  /// Returns what this node itself knows of the runner, to be shared with other nodes.
   [[nodiscard]] SpeedReport report(std::uint64_t runner, TimePoint now) const;
-  /// Whether it reported its slowness to this node, which has not shared that yet. What was learned
-  /// changes slowly and goes along with it.
+  /// Returns whether this node has received a slowness report that it has not shared yet. The
+  /// learned time changes slowly and is shared along with it.
   [[nodiscard]] bool unshared() const { return unshared_; }
   void mark_shared() { unshared_ = false; }
-  /// Answers that took longer than all of this explains.
-  [[nodiscard]] SlowAnswers& slow_answers() { return slow_answers_; }
-  [[nodiscard]] const SlowAnswers& slow_answers() const { return slow_answers_; }
-  /// Answers that the learned time rests on, of this node.
+  /// Returns the tracker of responses slower than all of this predicts.
+  [[nodiscard]] LatencyOutliers& latency_outliers() { return latency_outliers_; }
+  [[nodiscard]] const LatencyOutliers& latency_outliers() const { return latency_outliers_; }
+  /// Returns the number of responses of this node from which the relative time was learned.
   [[nodiscard]] std::uint32_t samples() const { return samples_; }
-  /// When it last reported its slowness; the clock's start: never.
+  /// Returns when the runner last reported its slowness; zero: never.
   [[nodiscard]] TimePoint reported_at() const { return reported_at_; }
   [[nodiscard]] std::uint32_t reported_percent() const { return percent_; }
 
  private:
   std::uint32_t percent_ = 0;
   TimePoint reported_at_{};
-  double mean_percent_ = 0;  ///< Of the reports, of which the last ones count.
-  double reports_ = 0;       ///< Those that count in it.
+  double mean_percent_ = 0;  ///< Mean over about the last `kReportsKept` reports.
+  double reports_ = 0;       ///< Weight of that mean: number of reports, capped.
   std::uint32_t own_percent_ = 0;
   TimePoint own_reported_at_{};
-  double log_time_ = 0;  ///< Logarithm of the relative time that this node has learned.
+  double log_relative_time_ = 0;  ///< Logarithm of the relative time learned by this node.
   std::uint32_t samples_ = 0;
-  double peer_log_time_ = 0;
-  double peer_weight_ = 0;  ///< Samples, of all other nodes, that count.
-  SlowAnswers slow_answers_;
+  double peer_log_relative_time_ = 0;
+  double peer_weight_ = 0;  ///< Number of samples of all other nodes, capped.
+  LatencyOutliers latency_outliers_;
   bool unshared_ = false;
 };
 
-/// Learns a time as a linear function of what it depends on. Old samples fade, and a single one is
-/// bounded, so that a bad answer moves it little.
-class TimeFit {
+/// Linear regression of a response time on the runner's work. Old samples decay, and the effect of
+/// a single sample is bounded, so that an outlier changes little.
+class LatencyRegression {
  public:
-  static constexpr std::size_t kTerms = 3;  ///< Constant, unread tokens, load.
+  static constexpr std::size_t kTerms = 3;  ///< Constant, unprocessed tokens, load.
   using Terms = std::array<double, kTerms>;
 
-  /// @param prior what is assumed before anything is seen, in ms.
-  explicit TimeFit(const Terms& prior);
+  /// @param prior coefficients assumed before the first sample, in ms.
+  explicit LatencyRegression(const Terms& prior);
   void observe(const RunnerWork& work, Duration time);
   [[nodiscard]] Duration expected(const RunnerWork& work) const;
   [[nodiscard]] std::uint64_t samples() const { return samples_; }
@@ -109,46 +113,45 @@
 
   Terms prior_;
   Terms solution_;
-  std::array<Terms, kTerms> products_{};  ///< Faded sums of products of terms.
-  Terms moments_{};                       ///< Faded sums of terms times observed ms.
+  std::array<Terms, kTerms> products_{};  ///< Decaying sums of products of terms.
+  Terms moments_{};                       ///< Decaying sums of terms times observed ms.
   std::uint64_t samples_ = 0;
 };
 
-/// What one node has learned of the times of answers, by route, since requests of one route are
-/// alike.
+/// The response times that one node has learned, per route, because requests of a route are alike.
 class SpeedModel {
  public:
-  /// A runner reported its slowness, to this node or to another.
+  /// Applies a slowness that the runner reported to this node or another one.
   void take_slowness(RunnerSpeed& runner, std::uint32_t percent, TimePoint reported, bool own);
-  /// Takes another node's report of a runner; what is false in it counts nothing.
-  /// @return whether it holds a slowness that the runner reported.
+  /// Applies another node's report of a runner and ignores invalid values in it.
+  /// @return whether it holds a valid slowness reported by the runner.
   bool take(RunnerSpeed& runner, const SpeedReport& report, TimePoint now);
 
-  /// The first event of an answer came.
+  /// Learns from the time to the first event of a response.
   void observe_first_event(std::uint64_t route, RunnerSpeed& runner, const RunnerWork& work,
                            Duration time, TimePoint now);
-  /// Some events of an answer came.
-  /// @param gap mean time from one to the next.
+  /// Learns from the time between events of a response.
+  /// @param gap mean time between events.
   void observe_gap(std::uint64_t route, RunnerSpeed& runner, double load, Duration gap,
                    TimePoint now);
 
-  /// Returns the times that an answer is expected to take at a runner.
+  /// Returns the predicted latency of a response at a runner.
   [[nodiscard]] ExpectedTimes expected(std::uint64_t route, const RunnerSpeed& runner,
                                        const RunnerWork& work, TimePoint now) const;
 
  private:
-  struct RouteTimes {
-    RouteTimes();
-    TimeFit first_event;
-    TimeFit event_gap;
+  struct RouteLatencyModel {
+    RouteLatencyModel();
+    LatencyRegression first_event;
+    LatencyRegression event_gap;
   };
-  RouteTimes& times_of(std::uint64_t route);
-  void learn(TimeFit& fit, RunnerSpeed& runner, const RunnerWork& work, Duration time,
+  RouteLatencyModel& latency_model(std::uint64_t route);
+  void learn(LatencyRegression& fit, RunnerSpeed& runner, const RunnerWork& work, Duration time,
              TimePoint now);
 
-  std::map<std::uint64_t, RouteTimes> routes_;  ///< By hash of the name.
-  double usual_slowness_ = 1;  ///< Mean of all runners, as a multiple of the usual time.
-  double worst_slowness_ = 1;  ///< That runners reach now and then.
+  std::map<std::uint64_t, RouteLatencyModel> routes_;  ///< By hash of the name.
+  double mean_slowness_ = 1;  ///< Mean over all runners, as a multiple of the usual time.
+  double peak_slowness_ = 1;  ///< Slowness that runners reach from time to time.
 };
 
 }  // namespace stoathold
--- a/src/routing/slow_answers.cc
+++ b/src/routing/slow_answers.cc
@@ -5,81 +5,88 @@
 namespace stoathold {
 namespace {
 
-/// Time in which counts fall to 1/e: a runner with just enough slow answers is tried again after
-/// half a second, one with twice as many after 2 s.
-constexpr Duration kMemory = std::chrono::seconds(3);
-/// Times the expected time, at the slowest moment, from which an answer is beyond explanation. A
-/// single answer is learned from as at most twice the expected time.
-constexpr Duration::rep kBeyondExpected = 3;
-/// What a busy node itself adds to an answer: machines with a tenth of a core get it each 100 ms.
-constexpr Duration kOwnDelay = std::chrono::milliseconds(100);
-/// Slow answers that count as evidence: one may have met a pause of the network.
-constexpr double kSlowToAvoid = 2.5;
-/// Those that keep it on trial.
-constexpr double kSlowToTry = 1;
-/// Part of a runner's answers that must be slow.
-constexpr double kPartToAvoid = 0.5;
-/// Part of the other runners' answers: if so many are slow, the cause is not the runner.
-constexpr double kPartOfOthers = 0.25;
-constexpr std::size_t kLeastRunnersEach = 4;
+/// Time constant of the decay. A runner that only just reached the limit is tried again after half
+/// a second, one with twice as many outliers after 2 s.
+constexpr Duration kCountDecayTime = std::chrono::seconds(3);
+/// Multiple of the predicted time, at the machine's slowest speed, above which a response is an
+/// outlier. The latency model itself counts a single response as at most twice the predicted time.
+constexpr Duration::rep kOutlierRatio = 3;
+/// Delay that a busy node itself may add: machines with a tenth of a core get it every 100 ms.
+constexpr Duration kMaxOwnDelay = std::chrono::milliseconds(100);
+/// Outliers needed to avoid a runner; a single one may be caused by a network stall.
+constexpr double kMinOutliersToAvoid = 2.5;
+/// Outliers that keep a runner on probation.
+constexpr double kMinOutliersForProbation = 1;
+/// Required fraction of outliers among the runner's responses.
+constexpr double kMinOutlierFraction = 0.5;
+/// Fraction of outliers among the other runners' responses from which on the cause is not the
+/// runner.
+constexpr double kMaxPeerOutlierFraction = 0.25;
+constexpr std::size_t kRunnersPerOutlier = 4;
 
-double part(const SlowCounts& counts) {
-  const double all = counts.slow + counts.usual;
-  return all > 0 ? counts.slow / all : 0;
+double part(const OutlierCounts& counts) {
+  const double all = counts.outliers + counts.normal;
+  return all > 0 ? counts.outliers / all : 0;
 }
 
-SlowVerdict judge(const SlowCounts& counts, const SlowCounts& pool) {
-  if (counts.slow < kSlowToTry || part(counts) < kPartToAvoid) return SlowVerdict::kNone;
-  const SlowCounts others{pool.slow - counts.slow, pool.usual - counts.usual};
-  const bool nothing_to_compare = others.slow + others.usual < kSlowToTry;
-  if (nothing_to_compare || part(others) >= kPartOfOthers) return SlowVerdict::kNone;
-  return counts.slow >= kSlowToAvoid ? SlowVerdict::kAvoided : SlowVerdict::kOnTrial;
+OutlierVerdict judge(const OutlierCounts& counts, const OutlierCounts& pool) {
+  if (counts.outliers < kMinOutliersForProbation || part(counts) < kMinOutlierFraction)
+    return OutlierVerdict::kNone;
+  const OutlierCounts others{pool.outliers - counts.outliers, pool.normal - counts.normal};
+  const bool nothing_to_compare = others.outliers + others.normal < kMinOutliersForProbation;
+  if (nothing_to_compare || part(others) >= kMaxPeerOutlierFraction) return OutlierVerdict::kNone;
+  return counts.outliers >= kMinOutliersToAvoid ? OutlierVerdict::kAvoided
+                                                : OutlierVerdict::kOnProbation;
 }
 
 }  // namespace
 
-bool is_beyond_explanation(Duration time, Duration expected) {
-  return time > kBeyondExpected * expected + kOwnDelay;
+bool is_latency_outlier(Duration time, Duration expected) {
+  return time > kOutlierRatio * expected + kMaxOwnDelay;
 }
 
-SlowAnswers::SlowAnswers()
-    : own_slow_(kMemory), own_usual_(kMemory), reported_slow_(kMemory), reported_usual_(kMemory) {}
+LatencyOutliers::LatencyOutliers()
+    : own_outliers_(kCountDecayTime),
+      own_normal_(kCountDecayTime),
+      reported_outliers_(kCountDecayTime),
+      reported_normal_(kCountDecayTime) {}
 
-void SlowAnswers::count(bool slow, TimePoint now) {
-  (slow ? own_slow_ : own_usual_).add(1, now);
+void LatencyOutliers::count(bool outlier, TimePoint now) {
+  (outlier ? own_outliers_ : own_normal_).add(1, now);
 }
 
-void SlowAnswers::take_report(const SlowCounts& counts, TimePoint now) {
-  if (counts.slow + counts.usual < reported_slow_.value(now) + reported_usual_.value(now)) return;
-  reported_slow_.set(counts.slow, now);
-  reported_usual_.set(counts.usual, now);
+void LatencyOutliers::take_report(const OutlierCounts& counts, TimePoint now) {
+  if (counts.outliers + counts.normal < reported_outliers_.value(now) + reported_normal_.value(now))
+    return;
+  reported_outliers_.set(counts.outliers, now);
+  reported_normal_.set(counts.normal, now);
 }
 
-SlowCounts SlowAnswers::own(TimePoint now) const {
-  return {own_slow_.value(now), own_usual_.value(now)};
+OutlierCounts LatencyOutliers::own(TimePoint now) const {
+  return {own_outliers_.value(now), own_normal_.value(now)};
 }
 
-bool SlowAnswers::is_suspect(TimePoint now) const {
-  return own_slow_.value(now) + reported_slow_.value(now) >= kSlowToTry;
+bool LatencyOutliers::is_suspect(TimePoint now) const {
+  return own_outliers_.value(now) + reported_outliers_.value(now) >= kMinOutliersForProbation;
 }
 
-SlowCounts SlowAnswers::all(TimePoint now) const {
-  SlowCounts all = own(now);
-  all += {reported_slow_.value(now), reported_usual_.value(now)};
+OutlierCounts LatencyOutliers::all(TimePoint now) const {
+  OutlierCounts all = own(now);
+  all += {reported_outliers_.value(now), reported_normal_.value(now)};
   return all;
 }
 
-std::vector<SlowVerdict> judge_slow(const std::vector<SlowCounts>& counts) {
-  SlowCounts pool;
-  for (const SlowCounts& of_runner : counts) pool += of_runner;
-  std::vector<SlowVerdict> verdicts;
+std::vector<OutlierVerdict> detect_outliers(const std::vector<OutlierCounts>& counts) {
+  OutlierCounts pool;
+  for (const OutlierCounts& of_runner : counts) pool += of_runner;
+  std::vector<OutlierVerdict> verdicts;
   std::size_t marked = 0;
-  for (const SlowCounts& of_runner : counts) {
+  for (const OutlierCounts& of_runner : counts) {
     verdicts.push_back(judge(of_runner, pool));
-    if (verdicts.back() != SlowVerdict::kNone) ++marked;
+    if (verdicts.back() != OutlierVerdict::kNone) ++marked;
   }
-  if (marked * kLeastRunnersEach > counts.size()) {
-    std::fill(verdicts.begin(), verdicts.end(), SlowVerdict::kNone);
+  if (marked * kRunnersPerOutlier > counts.size()) {
+    std::fill(verdicts.begin(), verdicts.end(), OutlierVerdict::kNone);
   }
   return verdicts;
 }
--- a/src/routing/slow_answers.h
+++ b/src/routing/slow_answers.h
@@ -1,5 +1,5 @@
 /// @file
-/// Answers of a runner that took far longer than what is known of it explains.
+/// Detects runners whose responses take far longer than their latency model predicts.
 #pragma once
 
 #include <cstdint>
@@ -10,59 +10,60 @@
 
 namespace stoathold {
 
-/// Answers of one runner lately.
-struct SlowCounts {
-  double slow = 0;   ///< Beyond explanation.
-  double usual = 0;  ///< All others.
+/// Recent responses of one runner, weighted by age.
+struct OutlierCounts {
+  double outliers = 0;  ///< Latency outliers.
+  double normal = 0;    ///< All others.
 
-  SlowCounts& operator+=(const SlowCounts& other) {
-    slow += other.slow;
-    usual += other.usual;
+  OutlierCounts& operator+=(const OutlierCounts& other) {
+    outliers += other.outliers;
+    normal += other.normal;
     return *this;
   }
 };
 
-/// Whether an answer's time is beyond explanation.
-/// @param expected of it at this runner, with its load, at the slowest moment of its machine.
-bool is_beyond_explanation(Duration time, Duration expected);
+/// Returns whether a response time is an outlier.
+/// @param expected predicted time at this runner and load, at the slowest speed of its machine.
+bool is_latency_outlier(Duration time, Duration expected);
 
-/// A runner may be slow in a way that neither its reported slowness nor its load nor its learned
-/// speed explains: its machine is ill, or its figures are false. Several such answers are evidence
-/// against it like errors are. They count against what the other runners do at the same time: if
-/// all turn slow, the cause is not this one. Used on one thread.
-class SlowAnswers {
+/// A runner may be slower than its reported slowness, load and learned speed explain, because its
+/// machine is faulty or its reports are false. Several such responses are evidence against it, as
+/// errors are. They are compared with the responses of the other runners at the same time: if all
+/// slow down, the cause is not this runner. Used on one thread.
+class LatencyOutliers {
  public:
-  SlowAnswers();
+  LatencyOutliers();
 
-  /// An answer of this node came.
-  void count(bool slow, TimePoint now);
-  /// Another node's counts; of several nodes the greatest stands.
-  void take_report(const SlowCounts& counts, TimePoint now);
-  /// Returns the own counts, to report them to others.
-  [[nodiscard]] SlowCounts own(TimePoint now) const;
-  /// Whether so many were slow lately that the runner is to be judged: of most runners none was.
+  /// Counts a response received by this node.
+  void count(bool outlier, TimePoint now);
+  /// Applies another node's counts; of several nodes the largest counts are kept.
+  void take_report(const OutlierCounts& counts, TimePoint now);
+  /// Returns this node's counts, to be reported to other nodes.
+  [[nodiscard]] OutlierCounts own(TimePoint now) const;
+  /// Returns whether there are recent outliers enough to compare this runner with the others; most
+  /// runners have none.
   [[nodiscard]] bool is_suspect(TimePoint now) const;
-  /// Returns the own counts and those of another node.
-  [[nodiscard]] SlowCounts all(TimePoint now) const;
+  /// Returns the sum of this node's counts and the reported ones.
+  [[nodiscard]] OutlierCounts all(TimePoint now) const;
 
  private:
-  DecayingCount own_slow_;
-  DecayingCount own_usual_;
-  DecayingCount reported_slow_;
-  DecayingCount reported_usual_;
+  DecayingCount own_outliers_;
+  DecayingCount own_normal_;
+  DecayingCount reported_outliers_;
+  DecayingCount reported_normal_;
 };
 
-/// What follows for one runner.
-enum class SlowVerdict : std::uint8_t {
+/// The result of outlier detection for one runner.
+enum class OutlierVerdict : std::uint8_t {
   kNone,
-  kOnTrial,  ///< It was avoided a moment ago: one request at a time is tried there.
-  kAvoided,  ///< Gets no new online work.
+  kOnProbation,  ///< Avoided until recently: receives one request at a time.
+  kAvoided,      ///< Receives no new online work.
 };
 
-/// Judges the runners of a service, one against the others.
-/// @param counts of each runner.
-/// @return the verdicts in the same order. At most a quarter of the runners is avoided or on trial:
-///         of more, none is.
-std::vector<SlowVerdict> judge_slow(const std::vector<SlowCounts>& counts);
+/// Compares the runners of a service with one another.
+/// @param counts counts of each runner.
+/// @return the verdicts in the same order. At most a quarter of the runners is avoided or on
+///         probation; if more qualify, none is.
+std::vector<OutlierVerdict> detect_outliers(const std::vector<OutlierCounts>& counts);
 
 }  // namespace stoathold
--- a/src/routing/speed_summary.h
+++ b/src/routing/speed_summary.h
@@ -1,5 +1,5 @@
 /// @file
-/// How fast the runners of a service work, in a few figures for operators.
+/// Summary of the speed of a service's runners, for operators.
 #pragma once
 
 #include <algorithm>
@@ -8,15 +8,15 @@
 
 namespace stoathold {
 
-/// Filled runner by runner.
+/// Accumulates one runner at a time.
 struct SpeedSummary {
-  double most_slowness = 0;         ///< Multiple of the usual time, as reported; 0: none lately.
-  double slow_runners = 0;          ///< Those that report more than `kSlow`.
-  double greatest_age_seconds = 0;  ///< Of the last reports; of runners that have reported.
-  double least_relative_time = 1;   ///< Learned time against the mean runner's.
+  double most_slowness = 0;         ///< Reported multiple of the usual time; 0: no report.
+  double slow_runners = 0;          ///< Runners slower than `kSlow`.
+  double greatest_age_seconds = 0;  ///< Of the last reports, over the runners that have reported.
+  double least_relative_time = 1;   ///< Learned time relative to the mean runner.
   double most_relative_time = 1;
 
-  /// Multiple of the usual time from which a runner counts as slow.
+  /// Multiple of the usual time above which a runner counts as slow.
   static constexpr double kSlow = 1.5;
 
   void add(const RunnerSpeed& runner, TimePoint now) {
--- a/tests/routing/batch_replay.cc
+++ b/tests/routing/batch_replay.cc
@@ -18,34 +18,35 @@
 constexpr double kStep = 0.001;
 constexpr std::size_t kZones = 3;
 constexpr std::size_t kSlots = 8;
-constexpr std::size_t kRoom = 32;  ///< Slots and queue of a runner.
+constexpr std::size_t kRunnerCapacity = 32;  ///< Slots and queue of a runner.
 constexpr std::uint64_t kService = 7;
-/// Online work: 325 slots wanted in the mean of 712, swinging; 0.8 s a request.
+/// Online work: mean demand of 325 of 712 slots, alternating between low and high; 0.8 s per
+/// request.
 constexpr double kOnlineSlots = 325.0 / 712;
 constexpr double kOnlineTime = 0.8;
-constexpr double kLow = 0.383;
+constexpr double kLowRate = 0.383;
 constexpr double kLowSeconds = 3.4;
-constexpr double kHigh = 1.87;
+constexpr double kHighRate = 1.87;
 constexpr double kPeriod = 5.8;
-constexpr double kOnlineDue = 0.255;
+constexpr double kOnlineDeadline = 0.255;
 constexpr double kOnlinePatience = 1.0;
-/// Batch: 51 items a second for 712 slots, in jobs of 10, 5.2 s each, due in 18 s.
+/// Batch: 51 items per second for 712 slots, in jobs of 10, 5.2 s each, due after 18 s.
 constexpr double kItemsPerSlot = 51.0 / 712;
 constexpr double kItemsOfJob = 10;
 constexpr double kItemTime = 5.2;
-constexpr double kItemDue = 18;
-/// Two bursts of online work and a heap of jobs.
+constexpr double kItemDeadline = 18;
+/// Two bursts of online work, and one of batch jobs.
 constexpr double kBurstSeconds = 3;
 constexpr double kBatchLimit = 0.85;
-constexpr double kBurstMargin = 0.4;
-constexpr double kBurstMemory = 0.4;
+constexpr double kBurstReserve = 0.4;
+constexpr double kBurstReserveDecay = 0.4;
 constexpr double kRemoteLimit = 0.75;
 constexpr double kRemoteReport = 0.25;
 constexpr double kDigestDelay = 0.002;
 constexpr double kDigestInterval = 0.015;
-constexpr double kOnlineKnown = 0.015;
+constexpr double kOnlineReportDelay = 0.015;
 constexpr double kShareWindow = 0.02;
-constexpr double kRefusedPause = 0.05;
+constexpr double kRejectionPause = 0.05;
 
 TimePoint at(double seconds) {
   return TimePoint{} + std::chrono::hours(1) + Duration(static_cast<Duration::rep>(seconds * 1e6));
@@ -85,9 +86,9 @@
   double published = -1;
   std::vector<std::uint8_t> use;
   std::vector<std::size_t> waiting;
-  std::deque<Snapshot> told;
+  std::deque<Snapshot> snapshots;
   std::unique_ptr<BatchTurns> turns;
-  BatchWait counted{.service = kService};  ///< Waits that `turns` knows.
+  BatchWait announced{.service = kService};  ///< Waiting items reported to `turns`.
   double window = -1;
   double budget = 0;
   std::vector<std::uint8_t> begun_remote;
@@ -96,58 +97,58 @@
 
 class Fleet {
  public:
-  explicit Fleet(const Play& play) : play_(play), random_(play.seed) {
-    for (std::size_t i = 0; i < play.nodes; ++i) {
+  explicit Fleet(const Scenario& scenario) : scenario_(scenario), random_(scenario.seed) {
+    for (std::size_t i = 0; i < scenario.nodes; ++i) {
       Runner runner;
       runner.zone = i % kZones;
       runners_.push_back(runner);
       Node node;
       node.zone = i % kZones;
-      node.interval = play.busy && (i / kZones) % 2 == 0 ? 0.1 : 0.005;
+      node.interval = scenario.half_slow_nodes && (i / kZones) % 2 == 0 ? 0.1 : 0.005;
       node.next = random_.unit() * node.interval;
       node.turns = std::make_unique<BatchTurns>();
       node.turns->set_self(i + 1);
       nodes_.push_back(std::move(node));
     }
     for (auto& node : nodes_) {
-      node.use.assign(play.nodes, 0);
-      node.begun_remote.assign(play.nodes, 0);
+      node.use.assign(scenario.nodes, 0);
+      node.begun_remote.assign(scenario.nodes, 0);
     }
-    reported_.assign(play.nodes, 0);
-    demand_.assign(kZones, -10);
-    queue_.resize(kZones);
+    reported_loads_.assign(scenario.nodes, 0);
+    last_online_demand_.assign(kZones, -10);
+    online_queue_.resize(kZones);
   }
 
   Outcome run() {
-    for (now_ = 0; now_ < play_.seconds || (open_ > 0 && now_ < play_.seconds + 60);
+    for (now_ = 0; now_ < scenario_.seconds || (open_ > 0 && now_ < scenario_.seconds + 60);
          now_ += kStep) {
-      if (now_ < play_.seconds) arrive();
+      if (now_ < scenario_.seconds) arrive();
       work();
       place_online();
-      remember();
-      if (play_.way == Way::kOnePool) {
-        place_pool();
+      record_known_loads();
+      if (scenario_.policy == SharingPolicy::kGlobalQueue) {
+        place_from_global_queue();
       } else {
         for (std::size_t i = 0; i < nodes_.size(); ++i) {
-          if (now_ >= nodes_[i].next) act(i);
+          if (now_ >= nodes_[i].next) run_node(i);
         }
       }
       measure();
     }
-    const double steps = play_.seconds / kStep;
-    out_.items_late = 100.0 * static_cast<double>(late_ + open_) /
-                      std::max<double>(1, static_cast<double>(items_.size()));
-    out_.online_late = 100.0 * online_late_ / std::max(1.0, online_all_);
-    out_.beyond_slots /= steps;
-    out_.refused /= play_.seconds;
-    out_.preempted /= play_.seconds;
-    out_.idle /= steps;
-    out_.idle_wanted /= steps;
-    return out_;
+    const double steps = scenario_.seconds / kStep;
+    outcome_.items_late = 100.0 * static_cast<double>(late_ + open_) /
+                          std::max<double>(1, static_cast<double>(items_.size()));
+    outcome_.online_late = 100.0 * online_late_ / std::max(1.0, online_all_);
+    outcome_.items_beyond_slots /= steps;
+    outcome_.rejected /= scenario_.seconds;
+    outcome_.preempted /= scenario_.seconds;
+    outcome_.idle_slots /= steps;
+    outcome_.idle_allowed_slots /= steps;
+    return outcome_;
   }
 
  private:
-  double scale() const { return static_cast<double>(play_.nodes * kSlots); }
+  double scale() const { return static_cast<double>(scenario_.nodes * kSlots); }
 
   std::size_t poisson(double mean) {
     const double limit = std::exp(-mean);
@@ -162,10 +163,11 @@
 
   void arrive() {
     const double phase = std::fmod(now_, kPeriod);
-    double online = scale() * kOnlineSlots / kOnlineTime * (phase < kLowSeconds ? kLow : kHigh);
+    double online =
+        scale() * kOnlineSlots / kOnlineTime * (phase < kLowSeconds ? kLowRate : kHighRate);
     double batch = scale() * kItemsPerSlot / kItemsOfJob;
-    batch *= play_.batch;
-    if (!play_.bursts) return arrive(online, batch);
+    batch *= scenario_.batch_rate_factor;
+    if (!scenario_.bursts) return arrive(online, batch);
     if (now_ >= 9 && now_ < 9 + kBurstSeconds) batch *= 6, online *= 1.5;
     if (now_ >= 20 && now_ < 20 + kBurstSeconds) online *= 1.5;
     arrive(online, batch);
@@ -174,14 +176,14 @@
   void arrive(double online, double batch) {
     for (std::size_t zone = 0; zone < kZones; ++zone) {
       const std::size_t count = poisson(online / kZones * kStep);
-      for (std::size_t i = 0; i < count; ++i) queue_[zone].push_back({now_, now_});
+      for (std::size_t i = 0; i < count; ++i) online_queue_[zone].push_back({now_, now_});
       online_all_ += static_cast<double>(count);
     }
     const std::size_t jobs = poisson(batch * kStep);
     for (std::size_t job = 0; job < jobs; ++job) {
       const std::size_t node = random_.below(nodes_.size());
       for (std::size_t i = 0; i < static_cast<std::size_t>(kItemsOfJob); ++i) {
-        items_.push_back({now_ + kItemDue, kItemTime * (0.5 + random_.unit()), node, 0});
+        items_.push_back({now_ + kItemDeadline, kItemTime * (0.5 + random_.unit()), node, 0});
         nodes_[node].waiting.push_back(items_.size() - 1);
         ++open_;
       }
@@ -192,7 +194,7 @@
     for (auto& runner : runners_) {
       for (std::size_t i = 0; i < runner.entries.size() && i < kSlots; ++i) {
         Entry& entry = runner.entries[i];
-        if (!entry.begun && entry.online && now_ - entry.arrival > kOnlineDue) ++online_late_;
+        if (!entry.begun && entry.online && now_ - entry.arrival > kOnlineDeadline) ++online_late_;
         entry.begun = true;
         entry.left -= kStep;
         if (!entry.online) items_[entry.item].left = entry.left;
@@ -218,11 +220,11 @@
     }
   }
 
-  /// Whether the first of two items gives its slot back only after the second.
+  /// Returns whether the first of two items is preempted only after the second.
   bool yields_after(const Entry& first, const Entry& second) const {
     const auto rank = [this](const Entry& entry) {
       const double slack = items_[entry.item].due - now_ - entry.left;
-      return std::pair(!in_time(entry.item), play_.preempt_rest ? entry.left : slack);
+      return std::pair(!in_time(entry.item), scenario_.preempt_most_remaining ? entry.left : slack);
     };
     return rank(first) < rank(second);
   }
@@ -240,7 +242,7 @@
     entries.erase(found);
     --nodes_[items_[item].node].use[r];
     nodes_[items_[item].node].waiting.push_back(item);
-    ++out_.preempted;
+    ++outcome_.preempted;
   }
 
   struct Online {
@@ -250,13 +252,13 @@
 
   void place_online() {
     for (std::size_t zone = 0; zone < kZones; ++zone) {
-      auto& queue = queue_[zone];
+      auto& queue = online_queue_[zone];
       while (!queue.empty() && now_ - queue.front().arrival > kOnlinePatience) {
         queue.pop_front();
         ++online_late_;
       }
       while (!queue.empty() && place_one(zone, queue.front().arrival)) queue.pop_front();
-      if (!queue.empty()) demand_[zone] = now_;
+      if (!queue.empty()) last_online_demand_[zone] = now_;
       for (auto& waiting : queue) {
         const double pause = waiting.asked == waiting.arrival ? 0.02 : 0.1;
         if (now_ - waiting.asked < pause) continue;
@@ -285,62 +287,64 @@
     for (std::size_t r = zone; r < runners_.size(); r += kZones) {
       if (runners_[r].entries.size() < runners_[best].entries.size()) best = r;
     }
-    double rest = kOnlineTime;
+    double remaining = kOnlineTime;
     if (runners_[best].entries.size() >= kSlots) {
       best = most_batch(zone, true);
       if (best == runners_.size()) return false;
       preempt(best);
-      demand_[zone] = now_;
-      rest += 0.01;
+      last_online_demand_[zone] = now_;
+      remaining += 0.01;
     }
-    runners_[best].entries.push_back({true, 0, rest, arrival});
+    runners_[best].entries.push_back({true, 0, remaining, arrival});
     ++runners_[best].online;
     return true;
   }
 
-  /// Keeps what online work there was, as it is known a moment later.
-  void remember() {
+  /// Records the online use of runners, which nodes see with a delay.
+  void record_known_loads() {
     std::vector<std::uint8_t> online;
     for (const auto& runner : runners_) online.push_back(static_cast<std::uint8_t>(runner.online));
-    online_.push_back(std::move(online));
-    if (online_.size() > static_cast<std::size_t>(kOnlineKnown / kStep)) online_.pop_front();
+    recent_online_use_.push_back(std::move(online));
+    if (recent_online_use_.size() > static_cast<std::size_t>(kOnlineReportDelay / kStep))
+      recent_online_use_.pop_front();
     if (now_ - reported_at_ >= kRemoteReport) {
       reported_at_ = now_;
       for (std::size_t r = 0; r < runners_.size(); ++r)
-        reported_[r] = static_cast<double>(runners_[r].entries.size());
+        reported_loads_[r] = static_cast<double>(runners_[r].entries.size());
     }
   }
 
   double limit(std::size_t zone) const {
-    const double part = (now_ - demand_[zone]) / kBurstMemory;
-    return kBatchLimit - kBurstMargin * std::clamp(1 - part, 0.0, 1.0);
+    const double part = (now_ - last_online_demand_[zone]) / kBurstReserveDecay;
+    return kBatchLimit - kBurstReserve * std::clamp(1 - part, 0.0, 1.0);
   }
 
   bool in_time(std::size_t item) const {
-    return now_ + items_[item].left * play_.stretch <= items_[item].due;
+    return now_ + items_[item].left * scenario_.remaining_time_factor <= items_[item].due;
   }
 
   void sort(std::vector<std::size_t>& waiting, bool others_late) const {
     const bool late =
         others_late || std::any_of(waiting.begin(), waiting.end(),
                                    [this](std::size_t item) { return !in_time(item); });
-    const bool by_rest =
-        play_.order == Order::kLeastRest || (play_.order == Order::kByNeed && late);
+    const bool by_remaining = scenario_.order == ItemOrder::kLeastRemaining ||
+                              (scenario_.order == ItemOrder::kAdaptive && late);
     std::sort(waiting.begin(), waiting.end(), [&](std::size_t left, std::size_t right) {
-      const auto rank = [this, by_rest](std::size_t item) {
+      const auto rank = [this, by_remaining](std::size_t item) {
         const bool late = !in_time(item);
-        const double order = by_rest ? items_[item].left : items_[item].due - items_[item].left;
+        const double order =
+            by_remaining ? items_[item].left : items_[item].due - items_[item].left;
         return std::tuple(late, order, item);
       };
       return rank(left) < rank(right);
     });
   }
 
-  void give(std::size_t r, std::size_t item) {
+  void send_item(std::size_t r, std::size_t item) {
     Node& node = nodes_[items_[item].node];
-    if (runners_[r].entries.size() >= kRoom) {
-      ++out_.refused;
-      items_[item].not_before = now_ + kRefusedPause;
+    if (runners_[r].entries.size() >= kRunnerCapacity) {
+      ++outcome_.rejected;
+      items_[item].not_before = now_ + kRejectionPause;
       node.waiting.push_back(item);
       return;
     }
@@ -348,7 +352,7 @@
     ++node.use[r];
   }
 
-  void place_pool() {
+  void place_from_global_queue() {
     std::vector<std::size_t> waiting;
     for (auto& node : nodes_) {
       waiting.insert(waiting.end(), node.waiting.begin(), node.waiting.end());
@@ -362,8 +366,8 @@
       for (std::size_t r = 0; r < runners_.size() && next < waiting.size(); ++r) {
         const std::size_t zone = runners_[r].zone;
         const double load = static_cast<double>(runners_[r].entries.size()) / kSlots;
-        if (!queue_[zone].empty() || load >= limit(zone)) continue;
-        give(r, waiting[next++]);
+        if (!online_queue_[zone].empty() || load >= limit(zone)) continue;
+        send_item(r, waiting[next++]);
         placed = true;
       }
     }
@@ -371,64 +375,64 @@
       nodes_[items_[waiting[next]].node].waiting.push_back(waiting[next]);
   }
 
-  const Snapshot* seen(const Node& other) const {
-    for (auto it = other.told.rbegin(); it != other.told.rend(); ++it) {
+  const Snapshot* latest_snapshot(const Node& other) const {
+    for (auto it = other.snapshots.rbegin(); it != other.snapshots.rend(); ++it) {
       if (it->time <= now_ - kDigestDelay) return &*it;
     }
     return nullptr;
   }
 
-  /// Loads of the zone's runners as the node knows them.
-  std::vector<double> view(std::size_t self) {
+  /// Returns the loads of the zone's runners as known to the node.
+  std::vector<double> known_loads(std::size_t self) {
     Node& node = nodes_[self];
     std::vector<double> load(runners_.size(), 0);
     for (std::size_t r = node.zone; r < runners_.size(); r += kZones)
-      load[r] = online_.front()[r] + node.use[r];
+      load[r] = recent_online_use_.front()[r] + node.use[r];
     for (std::size_t i = node.zone; i < nodes_.size(); i += kZones) {
       if (i == self) continue;
-      const Snapshot* told = seen(nodes_[i]);
-      if (told == nullptr) continue;
-      for (std::size_t r = node.zone; r < runners_.size(); r += kZones) load[r] += told->use[r];
-      const std::size_t items = told->waiting.in_time + std::size_t{told->waiting.late};
-      node.turns->take(i + 1, items > 0 ? std::vector{told->waiting} : std::vector<BatchWait>{},
-                       at(told->time));
+      const Snapshot* snapshot = latest_snapshot(nodes_[i]);
+      if (snapshot == nullptr) continue;
+      for (std::size_t r = node.zone; r < runners_.size(); r += kZones) load[r] += snapshot->use[r];
+      const std::size_t items = snapshot->waiting.in_time + std::size_t{snapshot->waiting.late};
+      node.turns->take(i + 1, items > 0 ? std::vector{snapshot->waiting} : std::vector<BatchWait>{},
+                       at(snapshot->time));
       others_waiting_ += items;
-      others_late_ += told->waiting.late;
+      others_late_ += snapshot->waiting.late;
     }
     return load;
   }
 
-  void count_waits(Node& node) {
+  void update_announced_waits(Node& node) {
     std::uint16_t in_time_now = 0;
     for (const std::size_t item : node.waiting) in_time_now += in_time(item) ? 1 : 0;
     const auto all = static_cast<std::uint16_t>(node.waiting.size());
-    count_to(node, node.counted.in_time, in_time_now, ItemUrgency::kInTime);
-    count_to(node, node.counted.late, static_cast<std::uint16_t>(all - in_time_now),
-             ItemUrgency::kLate);
+    update_announced(node, node.announced.in_time, in_time_now, ItemUrgency::kInTime);
+    update_announced(node, node.announced.late, static_cast<std::uint16_t>(all - in_time_now),
+                     ItemUrgency::kLate);
   }
 
-  static void count_to(Node& node, std::uint16_t& counted, std::uint16_t wanted,
-                       ItemUrgency urgency) {
-    for (; counted < wanted; ++counted) node.turns->begin_wait(kService, urgency);
-    for (; counted > wanted; --counted) node.turns->end_wait(kService, urgency);
+  static void update_announced(Node& node, std::uint16_t& announced, std::uint16_t wanted,
+                               ItemUrgency urgency) {
+    for (; announced < wanted; ++announced) node.turns->begin_wait(kService, urgency);
+    for (; announced > wanted; --announced) node.turns->end_wait(kService, urgency);
   }
 
-  bool silent(std::size_t self) const {
-    return now_ > 12 &&
-           static_cast<double>(self) < play_.silent_part * static_cast<double>(nodes_.size());
+  bool is_silent(std::size_t self) const {
+    return now_ > 12 && static_cast<double>(self) <
+                            scenario_.silent_fraction * static_cast<double>(nodes_.size());
   }
 
-  void act(std::size_t self) {
+  void run_node(std::size_t self) {
     Node& node = nodes_[self];
     node.next = now_ + node.interval;
-    if (silent(self)) return;
+    if (is_silent(self)) return;
     others_waiting_ = 0;
     others_late_ = 0;
     if (!node.waiting.empty()) {
-      std::vector<double> load = view(self);
-      count_waits(node);
+      std::vector<double> load = known_loads(self);
+      update_announced_waits(node);
       place(node, load);
-      count_waits(node);
+      update_announced_waits(node);
     }
     publish(node);
   }
@@ -436,23 +440,25 @@
   void publish(Node& node) {
     if (now_ - node.published < kDigestInterval) return;
     node.published = now_;
-    count_waits(node);
-    node.told.push_back({now_, node.use, node.counted});
-    while (node.told.size() > 20) node.told.pop_front();
+    update_announced_waits(node);
+    node.snapshots.push_back({now_, node.use, node.announced});
+    while (node.snapshots.size() > 20) node.snapshots.pop_front();
   }
 
-  bool dealt() const { return play_.way == Way::kDealt; }
+  bool is_arbitrated() const { return scenario_.policy == SharingPolicy::kArbitrated; }
 
   void place(Node& node, std::vector<double>& load) {
-    if (!queue_[node.zone].empty() || now_ - demand_[node.zone] < kOnlineKnown) return;
+    if (!online_queue_[node.zone].empty() ||
+        now_ - last_online_demand_[node.zone] < kOnlineReportDelay)
+      return;
     sort(node.waiting, others_late_ > 0);
-    std::vector<std::size_t> rest;
+    std::vector<std::size_t> remaining;
     const std::vector<std::size_t> waiting = std::exchange(node.waiting, {});
     renew_budget(node, load, waiting.size());
     bool full = false;
     for (const std::size_t item : waiting) {
       if (full || items_[item].not_before > now_) {
-        rest.push_back(item);
+        remaining.push_back(item);
         continue;
       }
       urgency_ = in_time(item) ? ItemUrgency::kInTime : ItemUrgency::kLate;
@@ -460,17 +466,18 @@
       if (r == runners_.size()) r = choose_remote(node);
       if (r == runners_.size()) {
         full = true;
-        rest.push_back(item);
+        remaining.push_back(item);
         continue;
       }
       ++load[r];
-      give(r, item);
+      send_item(r, item);
     }
-    node.waiting.insert(node.waiting.end(), rest.begin(), rest.end());
+    node.waiting.insert(node.waiting.end(), remaining.begin(), remaining.end());
   }
 
   void renew_budget(Node& node, const std::vector<double>& load, std::size_t own) {
-    if (play_.way != Way::kShares || now_ - node.window < kShareWindow) return;
+    if (scenario_.policy != SharingPolicy::kProportionalBudget || now_ - node.window < kShareWindow)
+      return;
     node.window = now_;
     double free = 0;
     for (std::size_t r = node.zone; r < runners_.size(); r += kZones) {
@@ -485,14 +492,15 @@
     std::vector<std::size_t> candidates;
     for (std::size_t r = node.zone; r < runners_.size(); r += kZones) {
       if (load[r] / kSlots >= limit(node.zone)) {
-        node.turns->note_full(r + 1);
+        node.turns->record_no_free_slot(r + 1);
         continue;
       }
-      if (dealt() && !node.turns->may_take(kService, urgency_, r + 1, at(now_))) continue;
+      if (is_arbitrated() && !node.turns->may_take(kService, urgency_, r + 1, at(now_))) continue;
       candidates.push_back(r);
     }
     if (candidates.empty()) return runners_.size();
-    if (play_.way == Way::kShares && node.budget < 1) return runners_.size();
+    if (scenario_.policy == SharingPolicy::kProportionalBudget && node.budget < 1)
+      return runners_.size();
     --node.budget;
     const std::size_t one = candidates[random_.below(candidates.size())];
     const std::size_t two = candidates[random_.below(candidates.size())];
@@ -500,7 +508,7 @@
   }
 
   std::size_t choose_remote(Node& node) {
-    if (!play_.remote) return runners_.size();
+    if (!scenario_.remote) return runners_.size();
     if (node.remote_window != reported_at_) {
       node.remote_window = reported_at_;
       std::fill(node.begun_remote.begin(), node.begun_remote.end(), 0);
@@ -508,9 +516,10 @@
     std::vector<std::size_t> candidates;
     for (std::size_t r = 0; r < runners_.size(); ++r) {
       if (runners_[r].zone == node.zone) continue;
-      const double load = (reported_[r] + node.begun_remote[r]) / kSlots;
+      const double load = (reported_loads_[r] + node.begun_remote[r]) / kSlots;
       if (load >= std::min(kRemoteLimit, limit(node.zone))) continue;
-      if (dealt() && !node.turns->is_first(kService, urgency_, r + 1, at(now_))) continue;
+      if (is_arbitrated() && !node.turns->is_first_in_order(kService, urgency_, r + 1, at(now_)))
+        continue;
       candidates.push_back(r);
     }
     if (candidates.empty()) return runners_.size();
@@ -520,7 +529,7 @@
   }
 
   void measure() {
-    if (now_ >= play_.seconds) return;
+    if (now_ >= scenario_.seconds) return;
     std::vector<std::size_t> waiting(kZones, 0);
     std::size_t all = 0;
     for (const auto& node : nodes_) {
@@ -529,31 +538,32 @@
     }
     for (const auto& runner : runners_) {
       const std::size_t size = runner.entries.size();
-      out_.most_at_runner = std::max(out_.most_at_runner, static_cast<double>(size));
-      if (size > kSlots) out_.beyond_slots += static_cast<double>(size - kSlots);
+      outcome_.max_requests_at_runner =
+          std::max(outcome_.max_requests_at_runner, static_cast<double>(size));
+      if (size > kSlots) outcome_.items_beyond_slots += static_cast<double>(size - kSlots);
       if (size >= kSlots || all == 0) continue;
-      out_.idle += static_cast<double>(kSlots - size);
+      outcome_.idle_slots += static_cast<double>(kSlots - size);
       const double allowed = std::ceil(limit(runner.zone) * kSlots);
-      if (waiting[runner.zone] > 0 && queue_[runner.zone].empty())
-        out_.idle_wanted += std::max(0.0, allowed - static_cast<double>(size));
+      if (waiting[runner.zone] > 0 && online_queue_[runner.zone].empty())
+        outcome_.idle_allowed_slots += std::max(0.0, allowed - static_cast<double>(size));
     }
   }
 
-  Play play_;
+  Scenario scenario_;
   Random random_;
-  Outcome out_;
+  Outcome outcome_;
   double now_ = 0;
   std::vector<Runner> runners_;
   std::vector<Node> nodes_;
   std::vector<Item> items_;
-  std::vector<std::deque<Online>> queue_;
-  std::vector<double> demand_;  ///< When online work last waited, by zone.
-  std::deque<std::vector<std::uint8_t>> online_;
-  std::vector<double> reported_;
+  std::vector<std::deque<Online>> online_queue_;
+  std::vector<double> last_online_demand_;  ///< Last time when online work waited, by zone.
+  std::deque<std::vector<std::uint8_t>> recent_online_use_;
+  std::vector<double> reported_loads_;
   double reported_at_ = -1;
   std::size_t others_waiting_ = 0;
   std::size_t others_late_ = 0;
-  ItemUrgency urgency_ = ItemUrgency::kInTime;  ///< Of the item that is placed.
+  ItemUrgency urgency_ = ItemUrgency::kInTime;  ///< Of the item being placed.
   std::size_t open_ = 0;
   std::size_t late_ = 0;
   double online_late_ = 0;
@@ -562,8 +572,8 @@
 
 }  // namespace
 
-Outcome run(const Play& play) {
-  return Fleet(play).run();
+Outcome run(const Scenario& scenario) {
+  return Fleet(scenario).run();
 }
 
 }  // namespace stoathold::batch_replay
--- a/tests/routing/batch_replay.h
+++ b/tests/routing/batch_replay.h
@@ -1,6 +1,6 @@
 /// @file
-/// A replay without a network: nodes of some zones give batch items to runners that online work
-/// takes back. What a node knows of the others is as old as their digests.
+/// Simulation without a network: nodes of several zones place batch items at runners from which
+/// online work preempts them. Nodes know each other's state only as of the last digest.
 #pragma once
 
 #include <cstddef>
@@ -8,48 +8,51 @@
 
 namespace stoathold::batch_replay {
 
-/// How nodes share the slots that are free.
-enum class Way : std::uint8_t {
-  kAllAtOnce,  ///< Each node takes what it sees.
-  kShares,     ///< Each takes, each 20 ms, its part by the items that wait.
-  kDealt,      ///< `BatchTurns`.
-  kOnePool,    ///< All is known everywhere at once: the bound.
+/// How nodes share the free slots.
+enum class SharingPolicy : std::uint8_t {
+  kUncoordinated,       ///< Each node takes the free slots that it sees.
+  kProportionalBudget,  ///< Every 20 ms each node gets a budget proportional to its waiting items.
+  kArbitrated,          ///< By `BatchArbiter`.
+  kGlobalQueue,         ///< One queue with immediate knowledge of all state: the optimum.
 };
 
-/// Which of the items that can be in time goes first.
-enum class Order : std::uint8_t {
-  kSlack,      ///< The one that must begin first.
-  kLeastRest,  ///< The one that has least left.
-  kByNeed,     ///< By slack until items of the zone are late, then by what is left.
+/// The order of the items that can still be on time.
+enum class ItemOrder : std::uint8_t {
+  kLeastSlack,      ///< The one that must start first.
+  kLeastRemaining,  ///< The one with the least remaining work.
+  kAdaptive,        ///< By slack until items of the zone are late, then by remaining work.
 };
 
-struct Play {
-  Way way = Way::kAllAtOnce;
-  std::size_t nodes = 89;  ///< With a runner of 8 slots each, in three zones.
+struct Scenario {
+  SharingPolicy policy = SharingPolicy::kUncoordinated;
+  std::size_t nodes = 89;  ///< Each with a runner of 8 slots, in three zones.
   std::uint64_t seed = 1;
-  bool busy = true;        ///< Half of the nodes get their processor each 100 ms only.
-  double seconds = 36;     ///< Arrivals; items run on to their end.
-  double silent_part = 0;  ///< Of the nodes, from the second 12 on: they take and say nothing.
-  double stretch = 1;  ///< By which an item's rest is counted longer when its slack is asked for.
-  Order order = Order::kSlack;
-  bool preempt_rest = false;  ///< The item with the most left gives way, not the last one placed.
-  double batch = 1;           ///< Times the usual arrivals of items.
+  bool half_slow_nodes = true;  ///< Half of the nodes are scheduled only every 100 ms.
+  double seconds = 36;          ///< Duration of arrivals; started items run to completion.
+  double silent_fraction = 0;   ///< Fraction of nodes that stop placing and reporting at 12 s.
+  /// Factor on an item's remaining time in the computation of its slack.
+  double remaining_time_factor = 1;
+  ItemOrder order = ItemOrder::kLeastSlack;
+  /// Preempt the item with the most remaining work, not the last one placed.
+  bool preempt_most_remaining = false;
+  double batch_rate_factor = 1;  ///< Factor on the usual arrival rate of items.
   bool bursts = true;
-  bool remote = true;  ///< Items go to other zones by loads reported each 250 ms.
+  bool remote = true;  ///< Place items in other zones, by loads reported every 250 ms.
 };
 
 struct Outcome {
-  double items_late = 0;   ///< In 100.
-  double online_late = 0;  ///< In 100: no slot within 255 ms.
-  double beyond_slots =
-      0;  ///< Items at runners that have no slot there, in the mean of the busy time.
-  double most_at_runner = 0;  ///< Most requests that a runner had at once.
-  double refused = 0;         ///< Items that runners turned away, a second.
-  double preempted = 0;       ///< A second.
-  double idle = 0;            ///< Slots that stood idle while items waited, in the mean.
-  double idle_wanted = 0;     ///< Those below what batch may use while items wait in the same zone.
+  double items_late = 0;   ///< Percent.
+  double online_late = 0;  ///< Percent without a slot within 255 ms.
+  double items_beyond_slots =
+      0;  ///< Mean number of items beyond the runners' slots during arrivals.
+  double max_requests_at_runner = 0;  ///< Maximum number of requests at a runner.
+  double rejected = 0;                ///< Items rejected by runners per second.
+  double preempted = 0;               ///< Per second.
+  double idle_slots = 0;              ///< Mean number of idle slots while items wait.
+  /// Those of them that batch may use, while items wait in the same zone.
+  double idle_allowed_slots = 0;
 };
 
-Outcome run(const Play& play);
+Outcome run(const Scenario& scenario);
 
 }  // namespace stoathold::batch_replay
--- a/tests/routing/batch_replay_test.cc
+++ b/tests/routing/batch_replay_test.cc
@@ -1,7 +1,8 @@
-// After each peak of online work some 90 nodes saw the same slots free and each gave its waiting
-// items to what it saw: 472 within 20 ms, 1,240 at runners with 712 slots, 1,243 turned away as the
-// runners' queues were full. The next peak waited behind them. Half of the replay's nodes get their
-// processor each 100 ms, as machines with a tenth of a core do.
+// Guards against batch items overcommitting the runners after a peak of online work. About 90 nodes
+// saw the same slots free and each sent its waiting items to them: 472 within 20 ms, 1,240 at
+// runners with 712 slots, and 1,243 rejected because the runners' queues were full. The next online
+// peak waited behind them. Half of the replay's nodes are scheduled only every 100 ms, like
+// machines with a tenth of a core.
 #include "tests/routing/batch_replay.h"
 
 #include <gtest/gtest.h>
@@ -9,28 +10,29 @@
 namespace stoathold::batch_replay {
 namespace {
 
-/// Until the second peak after a heap of jobs.
+/// Lasts until the second online peak after a burst of batch jobs.
 constexpr double kSeconds = 18;
 
-Outcome play(Way way, double silent_part = 0) {
-  return run({.way = way, .seconds = kSeconds, .silent_part = silent_part});
+Outcome replay(SharingPolicy policy, double silent_fraction = 0) {
+  return run({.policy = policy, .seconds = kSeconds, .silent_fraction = silent_fraction});
 }
 
-TEST(BatchReplayTest, RunnersAreNotGivenMoreItemsThanTheyHaveSlotsFor) {
-  const Outcome before = play(Way::kAllAtOnce);
-  const Outcome dealt = play(Way::kDealt);
-  EXPECT_LT(dealt.beyond_slots, before.beyond_slots / 5);
-  EXPECT_LT(dealt.refused, before.refused / 10);
-  EXPECT_LT(dealt.preempted, before.preempted);
-  EXPECT_LE(dealt.online_late, before.online_late);
-  EXPECT_LE(dealt.items_late, before.items_late);
+TEST(BatchReplayTest, ArbitrationAvoidsOvercommittingRunners) {
+  const Outcome before = replay(SharingPolicy::kUncoordinated);
+  const Outcome arbitrated = replay(SharingPolicy::kArbitrated);
+  EXPECT_LT(arbitrated.items_beyond_slots, before.items_beyond_slots / 5);
+  EXPECT_LT(arbitrated.rejected, before.rejected / 10);
+  EXPECT_LT(arbitrated.preempted, before.preempted);
+  EXPECT_LE(arbitrated.online_late, before.online_late);
+  EXPECT_LE(arbitrated.items_late, before.items_late);
 }
 
-TEST(BatchReplayTest, NodesThatFallSilentLeaveNoSlotsIdle) {
-  const Outcome all = play(Way::kDealt);
-  const Outcome some = play(Way::kDealt, 0.2);
-  // A fifth of the nodes takes its items with it; what the others may use is used.
-  EXPECT_LT(some.idle_wanted, all.idle_wanted + 10);
+TEST(BatchReplayTest, SilentNodesLeaveNoSlotsIdle) {
+  const Outcome all = replay(SharingPolicy::kArbitrated);
+  const Outcome some = replay(SharingPolicy::kArbitrated, 0.2);
+  // The items of the silent fifth of the nodes are lost, but the other nodes still use the slots
+  // that batch may use.
+  EXPECT_LT(some.idle_allowed_slots, all.idle_allowed_slots + 10);
 }
 
 }  // namespace
--- a/tests/routing/runner_registry_test.cc
+++ b/tests/routing/runner_registry_test.cc
@@ -13,7 +13,7 @@
   return {id, "chat", "10.0.0.1:80", "zone-1", slots, false};
 }
 
-TEST(RunnerRegistryTest, ADroppedRunnerIsNoLongerAvailableToWhoHoldsIt) {
+TEST(RunnerRegistryTest, RemovedRunnerIsUnavailableToExistingReferences) {
   RunnerRegistry registry;
   registry.upsert(make_record("r1"));
   const auto held = registry.of_service("chat").front();
@@ -22,7 +22,7 @@
   EXPECT_FALSE(held->available());
 }
 
-TEST(RunnerRegistryTest, UsableAreRunnersOfTheServiceAndZoneThatMayBeGivenWork) {
+TEST(RunnerRegistryTest, UsableReturnsAvailableRunnersOfServiceAndZone) {
   RunnerRegistry registry;
   registry.upsert(make_record("r1"));
   registry.upsert({"r2", "chat", "10.0.0.2:80", "zone-2", 10, false});
@@ -39,7 +39,7 @@
   EXPECT_TRUE(registry.usable(stable_hash("chat"), "zone-1", kStart).empty());
 }
 
-TEST(RunnerRegistryTest, AWholeListReplacesWhatWasKnown) {
+TEST(RunnerRegistryTest, ReplaceAllDropsUnlistedRunners) {
   RunnerRegistry registry;
   registry.upsert(make_record("r1"));
   registry.replace_all({make_record("r2")});
@@ -47,19 +47,19 @@
   EXPECT_EQ(registry.of_service("chat").front()->record().id, "r2");
 }
 
-TEST(RunnerTest, LoadCountsOwnWorkPeersAndWhatTheRunnerReported) {
+TEST(RunnerTest, LoadIncludesOwnPeerAndReportedRequests) {
   Runner runner(make_record("r1"));
   runner.begin_attempt();
   EXPECT_DOUBLE_EQ(runner.load(kStart), 0.1);
   runner.set_peer_use(2, 0);
   EXPECT_DOUBLE_EQ(runner.load(kStart), 0.3);
-  runner.take_report({5, 1, 10}, kStart);  // Three of the six are known here.
+  runner.take_report({5, 1, 10}, kStart);  // Three of the six requests are known here.
   EXPECT_DOUBLE_EQ(runner.load(kStart), 0.6);
   runner.begin_attempt();
   EXPECT_DOUBLE_EQ(runner.load(kStart), 0.7);
 }
 
-TEST(RunnerTest, AReportGrowsOld) {
+TEST(RunnerTest, LoadReportDecaysWithAge) {
   Runner runner(make_record("r1"));
   runner.take_report({10, 0, 10}, kStart);
   EXPECT_DOUBLE_EQ(runner.load(kStart + std::chrono::milliseconds(100)), 1.0);
@@ -67,7 +67,7 @@
   EXPECT_DOUBLE_EQ(runner.load(kStart + std::chrono::seconds(5)), 0.0);
 }
 
-TEST(RunnerTest, FailuresEjectAndServiceBringsBack) {
+TEST(RunnerTest, FailuresEjectAndSuccessRestores) {
   Runner runner(make_record("r1"));
   for (int i = 0; i < 2; ++i) {
     runner.begin_attempt();
@@ -81,7 +81,7 @@
   EXPECT_EQ(runner.failures(), 0U);
 }
 
-TEST(RunnerTest, BacklogEndsWhenThePromptIsRead) {
+TEST(RunnerTest, BacklogDropsWhenPromptIsProcessed) {
   Runner runner(make_record("r1"));
   runner.begin_attempt(500);
   runner.set_peer_use(1, 200);
--- a/tests/routing/runner_selector_test.cc
+++ b/tests/routing/runner_selector_test.cc
@@ -29,7 +29,7 @@
   SelectionRequest request{.service = "chat", .zone = "near", .prompt_tokens = 100};
 };
 
-TEST_F(RunnerSelectorTest, TheOwnZoneGoesFirstUntilItIsFull) {
+TEST_F(RunnerSelectorTest, OwnZoneIsPreferredUntilFull) {
   add("n1", "near");
   add("f1", "far");
   EXPECT_EQ(chosen(request), "n1");
@@ -37,12 +37,12 @@
   EXPECT_EQ(chosen(request), "f1");
 }
 
-TEST_F(RunnerSelectorTest, OtherZonesAreTriedBeforeTheyAreTrusted) {
+TEST_F(RunnerSelectorTest, RemoteRunnersAreProbedBeforeUse) {
   add("n1", "near");
   for (int i = 0; i < 4; ++i) add("f" + std::to_string(i), "far");
   fill("n1", 10);
   request.load_limit = 1.0;
-  // Nothing is known of them: two trials, then no more.
+  // Their load is unknown: two probe requests are sent, then no more.
   std::string trial;
   for (int i = 0; i < 2; ++i) {
     trial = chosen(request);
@@ -53,14 +53,14 @@
   for (int i = 0; i < 4; ++i) {
     if (runner("f" + std::to_string(i))->in_flight() == 0) fill("f" + std::to_string(i), 1);
   }
-  // One of them tells that it has places; it is full for others when it says so.
+  // A load report with free slots makes a runner usable, a report of a full runner does not.
   runner(trial)->take_report({4, 0, 10}, kNow);
   EXPECT_EQ(chosen(request), trial);
   runner(trial)->take_report({10, 3, 10}, kNow);
   EXPECT_EQ(chosen(request), "");
 }
 
-TEST_F(RunnerSelectorTest, ARunnerThatNeverTellsItsLoadIsTrustedOnceItAnswers) {
+TEST_F(RunnerSelectorTest, RunnerWithoutLoadReportsIsUsedOnceItResponds) {
   add("f1", "far");
   fill("f1", 1);
   request.load_limit = 1.0;
@@ -69,8 +69,8 @@
   EXPECT_EQ(chosen(request), "f1");
 }
 
-// Every node of a zone once gave its batch items to all slots that it saw free.
-TEST_F(RunnerSelectorTest, BatchGoesWhereItIsThisNodesTurn) {
+// Guards against all nodes of a zone placing batch items in the same free slots.
+TEST_F(RunnerSelectorTest, BatchUsesOnlyRunnersAssignedToThisNode) {
   for (int i = 0; i < 20; ++i) add("n" + std::to_string(i), "near");
   BatchTurns turns;
   turns.set_self(1);
@@ -86,13 +86,13 @@
     taken.insert(id);
   }
   for (const auto& id : taken) {
-    EXPECT_TRUE(turns.is_first(service, ItemUrgency::kInTime, runner(id)->hash(), kNow));
+    EXPECT_TRUE(turns.is_first_in_order(service, ItemUrgency::kInTime, runner(id)->hash(), kNow));
   }
   EXPECT_GT(taken.size(), 0U);
   EXPECT_LT(taken.size(), 20U);
 }
 
-TEST_F(RunnerSelectorTest, LeavingAndTriedRunnersGetNothing) {
+TEST_F(RunnerSelectorTest, DrainingAndExcludedRunnersAreSkipped) {
   add("n1", "near", true);
   add("n2", "near");
   EXPECT_EQ(chosen(request), "n2");
@@ -100,7 +100,7 @@
   EXPECT_EQ(select_runner(registry, request, kNow).failure, SelectionFailure::kAllExcluded);
 }
 
-TEST_F(RunnerSelectorTest, ARunnerWithUnreadPromptsIsAvoided) {
+TEST_F(RunnerSelectorTest, RunnerWithPromptBacklogIsAvoided) {
   add("n1", "near");
   add("n2", "near");
   fill("n1", 1, 9000);
@@ -108,7 +108,7 @@
   for (int i = 0; i < 20; ++i) EXPECT_EQ(chosen(request), "n2");
 }
 
-TEST_F(RunnerSelectorTest, ALongSharedPrefixKeepsToOneRunnerUnlessThatCostsMore) {
+TEST_F(RunnerSelectorTest, LongSharedPrefixSticksToRunnerUnlessCostlier) {
   for (int i = 0; i < 5; ++i) add("n" + std::to_string(i), "near");
   request.affinity_key = 77;
   request.prompt_tokens = 9000;
@@ -119,7 +119,7 @@
   EXPECT_NE(chosen(request), warm);
 }
 
-TEST_F(RunnerSelectorTest, EjectedRunnersAreTheLastResort) {
+TEST_F(RunnerSelectorTest, EjectedRunnersAreUsedOnlyAsLastResort) {
   add("n1", "near");
   add("n2", "near");
   for (int i = 0; i < 3; ++i) {
@@ -131,7 +131,7 @@
   EXPECT_EQ(chosen(request), "n1");
 }
 
-TEST_F(RunnerSelectorTest, TheLoadLimitLeavesBusyRunnersOut) {
+TEST_F(RunnerSelectorTest, LoadLimitExcludesBusyRunners) {
   add("n1", "near");
   fill("n1", 8);
   request.load_limit = 0.75;
@@ -140,7 +140,7 @@
   EXPECT_EQ(chosen(request), "n1");
 }
 
-TEST_F(RunnerSelectorTest, EqualRunnersShareTheWork) {
+TEST_F(RunnerSelectorTest, EquallyLoadedRunnersShareWork) {
   add("n1", "near");
   add("n2", "near");
   std::set<std::string> seen;
@@ -148,23 +148,23 @@
   EXPECT_EQ(seen.size(), 2U);
 }
 
-TEST_F(RunnerSelectorTest, AmongEqualRunnersAKeptConnectionDecides) {
+TEST_F(RunnerSelectorTest, ReusableConnectionBreaksTies) {
   for (const char* id : {"n1", "n2", "n3", "n4"}) add(id, "near");
   request.connected = [](const Runner& runner) { return runner.record().id == "n3"; };
   for (int i = 0; i < 20; ++i) EXPECT_EQ(chosen(request), "n3");
-  // A free runner goes before one that is merely connected.
+  // A less loaded runner is preferred to one with a connection.
   fill("n3", 1);
   EXPECT_NE(chosen(request), "n3");
   request.connected = [](const Runner&) { return false; };
   EXPECT_FALSE(chosen(request).empty());
 }
 
-/// At 78 nodes before 60 runners each node uses a runner of its zone every 5 s, and connections
-/// that rest for over a second are closed: of 18,177 requests 9,806 made a new one. A node that
-/// keeps to the runners to which it has connections uses each of them several times a second. Load
-/// decides all the same once a runner is 0.7 full, where its steps take longer and others may
-/// choose it too.
-TEST_F(RunnerSelectorTest, AKeptConnectionOutweighsASomewhatLesserLoadWhereItIsWantedTo) {
+/// With 78 nodes and 60 runners, each node used a given runner of its zone every 5 s. Connections
+/// idle for over a second are closed, so 9,806 of 18,177 requests opened a new one. A node that
+/// prefers the runners to which it has connections uses each of them several times a second. From a
+/// load of 0.7 load decides, because the runner's steps take longer and other nodes may choose it
+/// too.
+TEST_F(RunnerSelectorTest, ReusableConnectionOutweighsSlightlyLowerLoadIfConfigured) {
   for (const char* id : {"n1", "n2"}) add(id, "near");
   request.connected = [](const Runner& runner) { return runner.record().id == "n2"; };
   request.keep_connections = true;
@@ -177,7 +177,7 @@
   for (int i = 0; i < 20; ++i) EXPECT_EQ(chosen(request), "n1");
 }
 
-TEST_F(RunnerSelectorTest, AFullZoneSendsNothingToRunnersThatTheirZoneSaysAreBusy) {
+TEST_F(RunnerSelectorTest, FullZoneSkipsRemoteRunnersReportedBusy) {
   add("n1", "near");
   add("busy", "far");
   add("idle", "far");
@@ -185,7 +185,7 @@
   runner("busy")->take_zone_load(0.9, kNow);
   runner("idle")->take_zone_load(0.3, kNow);
   request.load_limit = 1.0;
-  // What this node has sent since comes on top of what was told.
+  // Requests sent since the report are added to the reported load.
   for (int i = 0; i < 5; ++i) {
     ASSERT_EQ(chosen(request), "idle");
     fill("idle", 1);
@@ -193,10 +193,10 @@
   EXPECT_EQ(chosen(request), "");
 }
 
-/// Runners of which one is twice as slow as the other, learned.
-class TimedSelectionTest : public RunnerSelectorTest {
+/// Two runners, one of which has been learned to be twice as slow as the other.
+class LatencyBasedSelectionTest : public RunnerSelectorTest {
  protected:
-  TimedSelectionTest() {
+  LatencyBasedSelectionTest() {
     add("fast", "near");
     add("slow", "near");
     for (int i = 0; i < 100; ++i) {
@@ -211,7 +211,7 @@
   void observe(const std::string& id, int milliseconds) {
     RunnerSpeed& speed = runner(id)->speed();
     const Duration time = std::chrono::milliseconds(milliseconds);
-    model.observe_first_event(kRoute, speed, {.unread_tokens = 100}, time, kNow);
+    model.observe_first_event(kRoute, speed, {.pending_prompt_tokens = 100}, time, kNow);
     model.observe_gap(kRoute, speed, 1, time, kNow);
   }
 
@@ -219,35 +219,35 @@
   SpeedModel model;
 };
 
-TEST_F(TimedSelectionTest, TheFasterOfTwoIsTakenWhateverTheConnections) {
+TEST_F(LatencyBasedSelectionTest, FasterRunnerWinsRegardlessOfConnections) {
   for (int i = 0; i < 20; ++i) EXPECT_EQ(chosen(request), "fast");
   request.connected = [](const Runner& runner) { return runner.record().id == "slow"; };
   EXPECT_EQ(chosen(request), "fast");
 }
 
-TEST_F(TimedSelectionTest, ASlowRunnerGetsWorkWhenTheFastOneIsFull) {
+TEST_F(LatencyBasedSelectionTest, SlowRunnerIsUsedWhenFastOneIsFull) {
   request.load_limit = 1.0;
   fill("fast", 10);
   EXPECT_EQ(chosen(request), "slow");
 }
 
-TEST_F(TimedSelectionTest, ARunnerThatIsSlowAtTheMomentIsPassedOver) {
-  request.needs.event_gap_objective = Duration{0};  // The first event alone counts.
+TEST_F(LatencyBasedSelectionTest, CurrentlySlowRunnerIsSkipped) {
+  request.needs.event_gap_objective = Duration{0};  // Only the first event matters.
   model.take_slowness(runner("fast")->speed(), 400, kNow, true);
   model.take_slowness(runner("slow")->speed(), 100, kNow, true);
   EXPECT_EQ(chosen(request), "slow");
 }
 
-// A stream whose pauses would be too long at the slowest moments goes elsewhere, also where its
-// first event would come later.
-TEST_F(TimedSelectionTest, PausesThatWouldBeTooLongCountBeforeTheFirstEvent) {
-  // Machines were 2.5 times slower just before.
+// A stream with too long gaps at the slowest speed of a machine is placed elsewhere, even if its
+// first event is later there.
+TEST_F(LatencyBasedSelectionTest, EventGapObjectiveOutweighsFirstEventTime) {
+  // Machines were 2.5 times slower until just before.
   for (const char* id : {"fast", "slow"}) {
     model.take_slowness(runner(id)->speed(), 250, kNow - std::chrono::seconds(2), true);
     model.take_slowness(runner(id)->speed(), 100, kNow, true);
   }
   fill("fast", 8, 1500);
-  // Pauses at the slowest: some 100 ms at the fast one and 200 at the slow one.
+  // Longest gaps: about 100 ms at the fast runner and 200 ms at the slow one.
   request.needs.event_gap_objective = std::chrono::milliseconds(150);
   const Selection selection = select_runner(registry, request, kNow);
   ASSERT_TRUE(selection.runner);
@@ -255,15 +255,15 @@
   EXPECT_LE(selection.expected->longest_gap, std::chrono::milliseconds(150));
 }
 
-TEST_F(TimedSelectionTest, WhatIsLateAnywhereStillFindsARunner) {
+TEST_F(LatencyBasedSelectionTest, RequestLateEverywhereIsStillPlaced) {
   request.needs.first_event_due = kNow - std::chrono::seconds(1);
   EXPECT_EQ(chosen(request), "fast");
 }
 
-// A request larger than what is left of a runner's memory is refused as if the runner were full,
-// and small ones were then sent to runners with more to do: the refusal counted for all work. A
-// runner that has places left while it refuses is full for large requests only.
-TEST_F(RunnerSelectorTest, ARefusalOfALargeRequestKeepsNoSmallOneAway) {
+// A request too large for the remaining memory of a runner is rejected as if the runner were full.
+// Guards against applying that rejection to small requests, which were then sent to busier runners.
+// A runner that has free slots when it rejects a request is full only for large requests.
+TEST_F(RunnerSelectorTest, RejectedLargeRequestDoesNotBlockSmallOnes) {
   add("n1", "near");
   add("n2", "near");
   fill("n2", 7);
@@ -279,7 +279,7 @@
   EXPECT_EQ(chosen(request), "n2");
 }
 
-TEST_F(RunnerSelectorTest, ARunnerWithoutFreePlacesIsFullForAll) {
+TEST_F(RunnerSelectorTest, RejectionWithoutFreeSlotsBlocksAllRequests) {
   add("n1", "near");
   add("n2", "near");
   fill("n2", 7);
@@ -289,31 +289,31 @@
   EXPECT_EQ(chosen(request), "n2");
 }
 
-TEST(RunnerRoomTest, WhatWasTooMuchIsNotHeldAgainUntilTheRefusalIsOld) {
-  RunnerRoom room;
-  room.take(3000);
-  room.take(5000);
-  room.refused(kNow);
-  room.give_back(5000);
-  EXPECT_FALSE(room.fits(5000, kNow));
-  EXPECT_TRUE(room.fits(4999, kNow));
-  // What was there has ended: there is room for more at a time.
-  room.give_back(3000);
-  EXPECT_TRUE(room.fits(7999, kNow));
-  EXPECT_FALSE(room.fits(8000, kNow));
-  EXPECT_TRUE(room.fits(8000, kNow + std::chrono::milliseconds(500)));
+TEST(RunnerMemoryEstimateTest, RejectedAmountIsNotReachedAgainUntilRejectionExpires) {
+  RunnerMemoryEstimate memory;
+  memory.add(3000);
+  memory.add(5000);
+  memory.record_rejection(kNow);
+  memory.remove(5000);
+  EXPECT_FALSE(memory.fits(5000, kNow));
+  EXPECT_TRUE(memory.fits(4999, kNow));
+  // The earlier requests have ended, so a larger one fits.
+  memory.remove(3000);
+  EXPECT_TRUE(memory.fits(7999, kNow));
+  EXPECT_FALSE(memory.fits(8000, kNow));
+  EXPECT_TRUE(memory.fits(8000, kNow + std::chrono::milliseconds(500)));
 }
 
-TEST(RunnerRoomTest, OfTwoRefusalsTheLesserCounts) {
-  RunnerRoom room;
-  room.take(8000);
-  room.refused(kNow);
-  room.give_back(8000);
-  room.take(100);
-  room.refused(kNow);
-  room.give_back(100);
-  EXPECT_FALSE(room.fits(100, kNow));
-  EXPECT_TRUE(room.fits(99, kNow));
+TEST(RunnerMemoryEstimateTest, SmallerOfTwoRejectedAmountsCounts) {
+  RunnerMemoryEstimate memory;
+  memory.add(8000);
+  memory.record_rejection(kNow);
+  memory.remove(8000);
+  memory.add(100);
+  memory.record_rejection(kNow);
+  memory.remove(100);
+  EXPECT_FALSE(memory.fits(100, kNow));
+  EXPECT_TRUE(memory.fits(99, kNow));
 }
 
 }  // namespace
--- a/tests/routing/runner_speed_test.cc
+++ b/tests/routing/runner_speed_test.cc
@@ -9,9 +9,9 @@
 
 constexpr TimePoint kNow{std::chrono::seconds(100)};
 constexpr std::uint64_t kRoute = 7;
-constexpr RunnerWork kWork{.unread_tokens = 450, .load = 0.5};
+constexpr RunnerWork kWork{.pending_prompt_tokens = 450, .load = 0.5};
 
-/// Answers of a runner that takes so many times the mean of 50 ms.
+/// Feeds responses of a runner that take `times` times the mean of 50 ms.
 void answer(SpeedModel& model, RunnerSpeed& runner, double times, int count) {
   for (int i = 0; i < count; ++i) {
     model.observe_first_event(kRoute, runner, kWork, scale(milliseconds(50), times), kNow);
@@ -22,7 +22,7 @@
   return to_seconds(model.expected(kRoute, runner, kWork, now).first_event) * 1000;
 }
 
-TEST(RunnerSpeedTest, ALateReportGivesWayToANewerOneAndADoubledOneChangesNothing) {
+TEST(RunnerSpeedTest, OutdatedAndDuplicateReportsAreIgnored) {
   RunnerSpeed runner;
   runner.take_slowness(250, kNow, false);
   runner.take_slowness(100, kNow - milliseconds(40), false);
@@ -31,10 +31,10 @@
   EXPECT_DOUBLE_EQ(runner.slowness(1.2, kNow), 2.5);
 }
 
-// Machines change every 0.6 s: what was said longer ago says nothing of the moment. A runner that
-// is built slower reports more at any moment, and is not taken for the mean as its report grows
-// old.
-TEST(RunnerSpeedTest, AReportFadesToTheRunnersOwnMean) {
+// Machines change every 0.6 s, so an older report does not describe the current state. A runner
+// that is slower by design always reports more, and must not be assumed to be average when its
+// report expires.
+TEST(RunnerSpeedTest, ReportFadesToRunnersOwnMean) {
   RunnerSpeed runner;
   EXPECT_DOUBLE_EQ(runner.slowness(1.2, kNow), 1.2);
   for (int i = 100; i > 0; --i) runner.take_slowness(160, kNow - milliseconds(i), false);
@@ -45,13 +45,13 @@
   EXPECT_NEAR(runner.slowness(1.2, kNow + milliseconds(300)), (4 + later) / 2, 0.01);
 }
 
-TEST(RunnerSpeedTest, OneReportMakesNoMean) {
+TEST(RunnerSpeedTest, SingleReportBarelyChangesMean) {
   RunnerSpeed runner;
   runner.take_slowness(250, kNow, true);
   EXPECT_NEAR(runner.slowness(1.2, kNow + milliseconds(600)), 1.46, 0.01);
 }
 
-TEST(RunnerSpeedTest, RunnersOfThreeSpeedsAreTold) {
+TEST(RunnerSpeedTest, RunnersOfThreeSpeedsAreDistinguished) {
   SpeedModel model;
   RunnerSpeed fast;
   RunnerSpeed usual;
@@ -61,17 +61,17 @@
     answer(model, usual, 1.0, 1);
     answer(model, slow, 1.6, 1);
   }
-  // Their proportions count; the mean is learned beside them.
+  // Only the ratios matter, since the mean is learned along with them.
   EXPECT_NEAR(slow.relative_time() / usual.relative_time(), 1.6, 0.1);
   EXPECT_NEAR(fast.relative_time() / usual.relative_time(), 0.6, 0.05);
   EXPECT_NEAR(first_event_ms(model, slow), 80, 6);
   EXPECT_NEAR(first_event_ms(model, fast), 30, 3);
-  // A runner that is new is taken for the mean.
+  // A new runner is assumed to be average.
   EXPECT_NEAR(first_event_ms(model, RunnerSpeed{}), 50, 6);
 }
 
-// One answer held up on the way, by a second, is no slow runner.
-TEST(RunnerSpeedTest, OneBadAnswerMovesLittle) {
+// A single response delayed by a second on its way must not make a runner slow.
+TEST(RunnerSpeedTest, SingleOutlierChangesLittle) {
   SpeedModel model;
   RunnerSpeed runner;
   answer(model, runner, 1, 50);
@@ -80,7 +80,7 @@
   EXPECT_LT(first_event_ms(model, runner), before * 1.15);
 }
 
-TEST(RunnerSpeedTest, ARunnerThatChangesIsLearnedAnew) {
+TEST(RunnerSpeedTest, PermanentChangeIsLearned) {
   SpeedModel model;
   RunnerSpeed others;
   RunnerSpeed runner;
@@ -93,8 +93,8 @@
   EXPECT_NEAR(runner.relative_time() / others.relative_time(), 1.6, 0.2);
 }
 
-// What a runner says of its machine and what is learned of itself are not counted twice.
-TEST(RunnerSpeedTest, ReportedSlownessIsNotLearnedAsTheRunnersOwn) {
+// Guards against counting a runner's reported slowness a second time as learned time.
+TEST(RunnerSpeedTest, ReportedSlownessIsNotLearnedAsRelativeTime) {
   SpeedModel model;
   RunnerSpeed steady;
   RunnerSpeed changing;
@@ -110,8 +110,8 @@
   EXPECT_NEAR(first_event_ms(model, changing), 125, 12);
 }
 
-// A runner that always says that it is slow, or fast, and is not, is seen through.
-TEST(RunnerSpeedTest, AConstantLieIsLearnedAway) {
+// The model compensates for a runner that always reports to be slower or faster than it is.
+TEST(RunnerSpeedTest, ConstantFalseReportIsCompensated) {
   SpeedModel model;
   RunnerSpeed honest;
   RunnerSpeed liar;
@@ -124,40 +124,40 @@
   EXPECT_NEAR(first_event_ms(model, liar), first_event_ms(model, honest), 12);
 }
 
-TEST(RunnerSpeedTest, UnreadTokensAndLoadCountByTheTimeThatTheyCost) {
+TEST(RunnerSpeedTest, PendingTokensAndLoadAreWeightedByCost) {
   SpeedModel model;
   RunnerSpeed runner;
   for (int i = 0; i < 600; ++i) {
-    const RunnerWork work{.unread_tokens = 450.0 * (i % 4), .load = (i % 7) / 8.0};
-    const double ms = 30 + work.unread_tokens / 20 + 25 * work.load;
+    const RunnerWork work{.pending_prompt_tokens = 450.0 * (i % 4), .load = (i % 7) / 8.0};
+    const double ms = 30 + work.pending_prompt_tokens / 20 + 25 * work.load;
     model.observe_first_event(kRoute, runner, work, scale(milliseconds(1), ms), kNow);
   }
   const auto expected_ms = [&](const RunnerWork& work) {
     return to_seconds(model.expected(kRoute, runner, work, kNow).first_event) * 1000;
   };
   const RunnerWork empty{};
-  EXPECT_NEAR(expected_ms({.unread_tokens = 2000}) - expected_ms(empty), 100, 25);
+  EXPECT_NEAR(expected_ms({.pending_prompt_tokens = 2000}) - expected_ms(empty), 100, 25);
   EXPECT_NEAR(expected_ms({.load = 1}) - expected_ms(empty), 25, 8);
 }
 
-TEST(RunnerSpeedTest, AnotherNodesReportIsTakenAndAFalseOneIsNot) {
+TEST(RunnerSpeedTest, PeerReportsAreAppliedAndInvalidOnesIgnored) {
   SpeedModel model;
   RunnerSpeed runner;
   EXPECT_TRUE(model.take(runner, {1, 250, 100, 410, 16}, kNow));
   EXPECT_NEAR(runner.relative_time(), 1.6, 0.01);
   EXPECT_EQ(runner.reported_at(), kNow - milliseconds(100));
-  // Nothing was reported there, or what cannot be: the runner keeps what is known of it.
+  // Missing or invalid slowness leaves the known state unchanged.
   EXPECT_FALSE(model.take(runner, {1, 0, 0, 0, 0}, kNow));
   EXPECT_FALSE(model.take(runner, {1, 9, 0, 410, 0}, kNow));
   EXPECT_FALSE(model.take(runner, {1, 65535, 0, 0, 9}, kNow));
   EXPECT_EQ(runner.reported_percent(), 250U);
   EXPECT_NEAR(runner.relative_time(), 1.6, 0.01);
-  // A learned time beyond all bounds counts as the greatest.
+  // A learned time out of bounds counts as the bound.
   EXPECT_TRUE(model.take(runner, {1, 100, 0, 65535, 255}, kNow));
   EXPECT_LE(runner.relative_time(), 16);
 }
 
-TEST(RunnerSpeedTest, ADoubledReportOfLearnedTimeCountsAsOne) {
+TEST(RunnerSpeedTest, DuplicateRelativeTimeReportCountsOnce) {
   SpeedModel model;
   RunnerSpeed runner;
   answer(model, runner, 1, 10);
--- a/tests/routing/slow_answers_test.cc
+++ b/tests/routing/slow_answers_test.cc
@@ -10,75 +10,75 @@
 using std::chrono::milliseconds;
 constexpr TimePoint kStart{std::chrono::seconds(100)};
 
-TEST(SlowAnswersTest, ThreeTimesTheSlowestExpectedTimeIsBeyondExplanation) {
-  EXPECT_FALSE(is_beyond_explanation(milliseconds(50), milliseconds(50)));
-  // Slowest moments are in what is expected; a busy node adds up to 100 ms of its own.
-  EXPECT_FALSE(is_beyond_explanation(milliseconds(150), milliseconds(20)));
-  EXPECT_TRUE(is_beyond_explanation(milliseconds(400), milliseconds(50)));
+TEST(LatencyOutliersTest, OutlierThresholdIsThreeTimesExpectedPlusNodeDelay) {
+  EXPECT_FALSE(is_latency_outlier(milliseconds(50), milliseconds(50)));
+  // The expected time covers the machine's slowest speed; a busy node adds up to 100 ms.
+  EXPECT_FALSE(is_latency_outlier(milliseconds(150), milliseconds(20)));
+  EXPECT_TRUE(is_latency_outlier(milliseconds(400), milliseconds(50)));
 }
 
-/// Runners of which each had some answers.
-class SlowRunnersTest : public testing::Test {
+/// Runners with counted responses.
+class OutlierDetectionTest : public testing::Test {
  protected:
   static constexpr std::size_t kRunners = 10;
   void answers(std::size_t runner, int slow, int usual, TimePoint now = kStart) {
     for (int i = 0; i < slow; ++i) runners[runner].count(true, now);
     for (int i = 0; i < usual; ++i) runners[runner].count(false, now);
   }
-  std::vector<SlowVerdict> verdicts(TimePoint now = kStart) const {
-    std::vector<SlowCounts> counts;
-    for (const SlowAnswers& runner : runners) counts.push_back(runner.all(now));
-    return judge_slow(counts);
+  std::vector<OutlierVerdict> verdicts(TimePoint now = kStart) const {
+    std::vector<OutlierCounts> counts;
+    for (const LatencyOutliers& runner : runners) counts.push_back(runner.all(now));
+    return detect_outliers(counts);
   }
-  static std::size_t marked(const std::vector<SlowVerdict>& verdicts) {
-    return verdicts.size() - static_cast<std::size_t>(
-                                 std::count(verdicts.begin(), verdicts.end(), SlowVerdict::kNone));
+  static std::size_t marked(const std::vector<OutlierVerdict>& verdicts) {
+    return verdicts.size() - static_cast<std::size_t>(std::count(verdicts.begin(), verdicts.end(),
+                                                                 OutlierVerdict::kNone));
   }
-  SlowAnswers runners[kRunners];
+  LatencyOutliers runners[kRunners];
 };
 
-TEST_F(SlowRunnersTest, OneThatIsSlowAmongOthersIsAvoidedThenTriedThenForgotten) {
+TEST_F(OutlierDetectionTest, SingleSlowRunnerIsAvoidedThenProbedThenRestored) {
   for (std::size_t i = 0; i < kRunners; ++i) answers(i, 0, 10);
   runners[3] = {};
   answers(3, 3, 0);
-  EXPECT_EQ(verdicts()[3], SlowVerdict::kAvoided);
+  EXPECT_EQ(verdicts()[3], OutlierVerdict::kAvoided);
   EXPECT_EQ(marked(verdicts()), 1U);
-  EXPECT_EQ(verdicts(kStart + milliseconds(700))[3], SlowVerdict::kOnTrial);
-  // One more slow answer on trial, and it is avoided again.
+  EXPECT_EQ(verdicts(kStart + milliseconds(700))[3], OutlierVerdict::kOnProbation);
+  // One more outlier during probation makes it avoided again.
   answers(3, 1, 0, kStart + milliseconds(700));
-  EXPECT_EQ(verdicts(kStart + milliseconds(700))[3], SlowVerdict::kAvoided);
-  EXPECT_EQ(verdicts(kStart + milliseconds(5000))[3], SlowVerdict::kNone);
+  EXPECT_EQ(verdicts(kStart + milliseconds(700))[3], OutlierVerdict::kAvoided);
+  EXPECT_EQ(verdicts(kStart + milliseconds(5000))[3], OutlierVerdict::kNone);
 }
 
-TEST_F(SlowRunnersTest, OneOrTwoSlowAnswersAreNoEvidence) {
+TEST_F(OutlierDetectionTest, TwoOutliersAreNotEnough) {
   for (std::size_t i = 0; i < kRunners; ++i) answers(i, 0, 10);
   answers(3, 2, 0);
-  EXPECT_EQ(verdicts()[3], SlowVerdict::kNone);
+  EXPECT_EQ(verdicts()[3], OutlierVerdict::kNone);
 }
 
-TEST_F(SlowRunnersTest, AllSlowTogetherAreNotAvoided) {
+TEST_F(OutlierDetectionTest, NoRunnerIsAvoidedIfAllAreSlow) {
   for (std::size_t i = 0; i < kRunners; ++i) answers(i, 5, 1);
   EXPECT_EQ(marked(verdicts()), 0U);
 }
 
-TEST_F(SlowRunnersTest, HalfOfThemSlowTogetherAreNotAvoided) {
+TEST_F(OutlierDetectionTest, NoRunnerIsAvoidedIfHalfAreSlow) {
   for (std::size_t i = 0; i < kRunners; ++i) answers(i, i < 5 ? 5 : 0, i < 5 ? 0 : 50);
   EXPECT_EQ(marked(verdicts()), 0U);
 }
 
-TEST_F(SlowRunnersTest, WithoutOthersToCompareNoneIsAvoided) {
+TEST_F(OutlierDetectionTest, NoRunnerIsAvoidedWithoutComparison) {
   answers(3, 5, 0);
   EXPECT_EQ(marked(verdicts()), 0U);
 }
 
-TEST_F(SlowRunnersTest, WhatAnotherNodeSawCountsOnce) {
+TEST_F(OutlierDetectionTest, RepeatedPeerReportsCountOnce) {
   for (std::size_t i = 0; i < kRunners; ++i) answers(i, 0, 10);
   runners[3] = {};
   answers(3, 1, 0);
-  for (int i = 0; i < 5; ++i) runners[3].take_report({.slow = 1, .usual = 0}, kStart);
-  EXPECT_EQ(verdicts()[3], SlowVerdict::kOnTrial);
-  runners[3].take_report({.slow = 2, .usual = 0}, kStart);
-  EXPECT_EQ(verdicts()[3], SlowVerdict::kAvoided);
+  for (int i = 0; i < 5; ++i) runners[3].take_report({.outliers = 1, .normal = 0}, kStart);
+  EXPECT_EQ(verdicts()[3], OutlierVerdict::kOnProbation);
+  runners[3].take_report({.outliers = 2, .normal = 0}, kStart);
+  EXPECT_EQ(verdicts()[3], OutlierVerdict::kAvoided);
 }
 
 }  // namespace
--- a/tests/routing/slow_runner_test.cc
+++ b/tests/routing/slow_runner_test.cc
@@ -1,5 +1,5 @@
-// A runner that is slow beyond what it reports, its load and its learned speed was chosen less, and
-// that was all: each node had to learn it by a dozen answers.
+// Guards against a runner that is slower than its reports, load and learned speed explain. It
+// received only somewhat less work, and each node had to learn its speed from a dozen responses.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -25,14 +25,15 @@
   }
   static std::string name(int runner) { return "r" + std::to_string(runner); }
   Runner& runner(int index) { return *registry.all().at(name(index)); }
-  /// One answer of each of some runners, which takes so many times the usual 50 ms.
+  /// Feeds one response of each runner in [from, end) that takes `times` times the usual 50 ms.
   void answers(int from, int end, double times) {
     for (int i = from; i < end; ++i) {
-      model.observe_first_event(kRoute, runner(i).speed(), {.unread_tokens = 300, .load = 0.2},
+      model.observe_first_event(kRoute, runner(i).speed(),
+                                {.pending_prompt_tokens = 300, .load = 0.2},
                                 scale(milliseconds(50), times), now);
     }
   }
-  /// How many runners a request is given to choose from.
+  /// Returns the number of runners from which a request's runner is selected.
   std::uint32_t candidates(WorkClass work = WorkClass::kOnline) {
     SelectionRequest request{.service = "chat", .zone = "near", .prompt_tokens = 100};
     request.speeds = &model;
@@ -43,8 +44,8 @@
     EXPECT_NE(selection.runner, nullptr);
     return selection.candidates;
   }
-  /// Some time later each runner but the first has answered as usual.
-  void later_usual_answers() {
+  /// Advances the clock and feeds normal responses of all runners but the first.
+  void advance_with_normal_responses() {
     now += std::chrono::seconds(10);
     for (int round = 0; round < 5; ++round) answers(1, kRunners, 1);
   }
@@ -54,8 +55,8 @@
   TimePoint now = kStart;
 };
 
-TEST_F(SlowRunnerTest, OneSlowRunnerAmongAlikeOnesGetsNoOnlineWorkForAWhile) {
-  later_usual_answers();
+TEST_F(SlowRunnerTest, SlowRunnerTemporarilyGetsNoOnlineWork) {
+  advance_with_normal_responses();
   for (int i = 0; i < 4; ++i) answers(0, 1, 12);
   EXPECT_EQ(candidates(), kRunners - 1U);
   EXPECT_EQ(candidates(WorkClass::kBatch), static_cast<std::uint32_t>(kRunners));
@@ -63,8 +64,8 @@
   EXPECT_EQ(candidates(), static_cast<std::uint32_t>(kRunners));
 }
 
-TEST_F(SlowRunnerTest, AMomentLaterItIsTriedWithOneRequestAtATime) {
-  later_usual_answers();
+TEST_F(SlowRunnerTest, RunnerOnProbationGetsOneRequestAtATime) {
+  advance_with_normal_responses();
   for (int i = 0; i < 4; ++i) answers(0, 1, 12);
   now += std::chrono::seconds(2);
   EXPECT_EQ(candidates(), static_cast<std::uint32_t>(kRunners));
@@ -72,44 +73,44 @@
   EXPECT_EQ(candidates(), kRunners - 1U);
 }
 
-TEST_F(SlowRunnerTest, ARunnerWhoseMachineIsAtItsUsualSlowMomentIsNotAvoided) {
-  later_usual_answers();
+TEST_F(SlowRunnerTest, NormalSlowPhaseIsNotAnOutlier) {
+  advance_with_normal_responses();
   for (int i = 0; i < 4; ++i) answers(0, 1, 2.5);
   EXPECT_EQ(candidates(), static_cast<std::uint32_t>(kRunners));
 }
 
-TEST_F(SlowRunnerTest, WhenAllTurnSlowNoneIsAvoided) {
+TEST_F(SlowRunnerTest, NoRunnerIsAvoidedIfAllSlowDown) {
   now += std::chrono::seconds(10);
   for (int i = 0; i < 4; ++i) answers(0, kRunners, 12);
   EXPECT_EQ(candidates(), static_cast<std::uint32_t>(kRunners));
 }
 
-TEST_F(SlowRunnerTest, WhenHalfTurnSlowNoneIsAvoided) {
+TEST_F(SlowRunnerTest, NoRunnerIsAvoidedIfHalfSlowDown) {
   now += std::chrono::seconds(10);
   for (int i = 0; i < 4; ++i) answers(0, kRunners / 2, 12);
   for (int i = 0; i < 20; ++i) answers(kRunners / 2, kRunners, 1);
   EXPECT_EQ(candidates(), static_cast<std::uint32_t>(kRunners));
 }
 
-TEST_F(SlowRunnerTest, AnotherNodesEvidenceIsTaken) {
-  later_usual_answers();
+TEST_F(SlowRunnerTest, PeerReportsOfOutliersAreApplied) {
+  advance_with_normal_responses();
   for (int i = 0; i < 4; ++i) answers(0, 1, 12);
   SpeedModel other;
   RunnerSpeed there;
   other.take(there, runner(0).speed().report(1, now), now);
-  EXPECT_GT(there.slow_answers().all(now).slow, 2.5);
+  EXPECT_GT(there.latency_outliers().all(now).outliers, 2.5);
 }
 
-// 0 and 1,000,000,000 are refused, so that nothing explains such a runner's slow answers; 5,000
-// is the most that a runner may say, and makes the slowness of no other one explained.
-TEST_F(SlowRunnerTest, FalseFiguresHideNothing) {
+// 0 and 1,000,000,000 are rejected as invalid, so that they explain no outliers. 5,000 is the
+// largest valid slowness, and must not make the slowness of other runners look expected.
+TEST_F(SlowRunnerTest, FalseSlownessReportsDoNotHideOutliers) {
   EXPECT_FALSE(is_true_slowness(0));
   EXPECT_FALSE(is_true_slowness(1000000000));
   model.take(runner(1).speed(), {.runner = 1, .slowness_percent = 0}, now);
   for (int i = 0; i < 3; ++i) {
     model.take_slowness(runner(1).speed(), kMostSlownessPercent, now - milliseconds(i), true);
   }
-  later_usual_answers();
+  advance_with_normal_responses();
   for (int i = 0; i < 4; ++i) answers(0, 1, 40);
   EXPECT_EQ(candidates(), kRunners - 1U);
 }
--- a/tests/routing/speed_replay.cc
+++ b/tests/routing/speed_replay.cc
@@ -10,16 +10,17 @@
 constexpr std::uint32_t kPromptTokens = 450;
 constexpr std::uint32_t kOnlineEvents = 18;
 constexpr std::uint32_t kBatchEvents = 123;
-constexpr Duration kPeriod = std::chrono::milliseconds(600);  ///< Of one slowness.
-constexpr double kSlowPart = 0.15;
-constexpr double kSlowTimes = 2.5;
+/// Time for which a runner's slowness is constant.
+constexpr Duration kPeriod = std::chrono::milliseconds(600);
+constexpr double kSlowFraction = 0.15;
+constexpr double kSlowFactor = 2.5;
 constexpr double kSpeeds[] = {0.6, 1.0, 1.6};
 constexpr Duration kFirstEventObjective = std::chrono::milliseconds(300);
 constexpr Duration kBatchObjective = std::chrono::seconds(18);
-constexpr std::uint32_t kWindowEvents = 8;
+constexpr std::uint32_t kGapWindowEvents = 8;
 constexpr Duration kRetry = std::chrono::milliseconds(10);
 constexpr double kBatchLoadLimit = 0.85;
-/// Arrivals: 3.4 s at 0.38 of the mean, then 2.4 s at 1.87.
+/// Arrivals alternate: 3.4 s at 0.38 of the mean rate, then 2.4 s at 1.87.
 constexpr double kLowSeconds = 3.4;
 constexpr double kCycleSeconds = 5.8;
 constexpr double kLowRate = 0.38;
@@ -38,20 +39,20 @@
   TimePoint sent{};
   TimePoint last_event{};
   std::uint32_t events = 0;
-  TimePoint window_start{};  ///< Of the events over which the time between them is learned.
+  TimePoint window_start{};  ///< Start of the events over which the gap is averaged.
   bool late_first = false;
   bool late_gap = false;
 };
 using WorkPointer = std::shared_ptr<Work>;
 
-/// What one node told the others.
-struct Told {
+/// An update that one node publishes to the others.
+struct PeerUpdate {
   TimePoint when{};
   std::size_t node = 0;
   std::size_t runner = 0;
   int requests = 0;
   int tokens = 0;
-  SpeedReport speed;  ///< Of runner 0: none.
+  SpeedReport speed;  ///< Runner 0: none.
 };
 
 struct SimulatedRunner {
@@ -65,28 +66,28 @@
   std::vector<Runner*> runners;
   SpeedModel model;
   std::deque<WorkPointer> waiting[2];  ///< Online, batch.
-  std::size_t heard = 0;               ///< Entries of `told_` that it knows.
+  std::size_t updates_seen = 0;        ///< Number of `updates_` entries applied.
   bool retries = false;
 };
 
 class Replay {
  public:
-  Replay(const SpeedReplayPlan& plan, bool predicts, const RunnerChooser& choose)
-      : plan_(plan),
+  Replay(const SpeedReplayScenario& scenario, bool predicts, const RunnerChooser& choose)
+      : scenario_(scenario),
         predicts_(predicts),
         choose_(choose),
-        arrivals_(plan.seed),
-        noise_(plan.seed + 1) {
-    seed_process_random(plan.seed);
-    for (std::size_t i = 0; i < plan.nodes; ++i) {
+        arrivals_(scenario.seed),
+        noise_(scenario.seed + 1) {
+    seed_process_random(scenario.seed);
+    for (std::size_t i = 0; i < scenario.nodes; ++i) {
       runners_.push_back({.speed = kSpeeds[i % 3]});
       nodes_.push_back(std::make_unique<SimulatedNode>());
     }
     for (auto& node : nodes_) {
-      for (std::size_t i = 0; i < plan.nodes; ++i) {
+      for (std::size_t i = 0; i < scenario.nodes; ++i) {
         node->registry.upsert({"r" + std::to_string(i), "chat", "a", "zone", kSlots});
       }
-      for (std::size_t i = 0; i < plan.nodes; ++i) {
+      for (std::size_t i = 0; i < scenario.nodes; ++i) {
         node->runners.push_back(node->registry.all().at("r" + std::to_string(i)).get());
         by_hash_[node->runners.back()->hash()] = i;
       }
@@ -119,30 +120,31 @@
     events_.push({when, next_event_++, std::move(act)});
   }
 
-  /// Time of work at a runner now, as a multiple of the usual.
+  /// Returns the current time of work at a runner as a multiple of the usual time.
   double slowness(std::size_t runner) const {
     const auto period = static_cast<std::uint64_t>(now_.time_since_epoch() / kPeriod);
-    Random random(plan_.seed * 1000003 + runner * 7919 + period * 104729);
+    Random random(scenario_.seed * 1000003 + runner * 7919 + period * 104729);
     random.next();
-    return random.unit() < kSlowPart ? kSlowTimes : 1;
+    return random.unit() < kSlowFraction ? kSlowFactor : 1;
   }
 
   std::uint32_t reported(std::size_t runner) const {
-    if (plan_.false_percent > 0 && runner % 10 == 0) return plan_.false_percent;
-    const double own = plan_.reports_speed ? runners_[runner].speed : 1;
+    if (scenario_.false_slowness_percent > 0 && runner % 10 == 0)
+      return scenario_.false_slowness_percent;
+    const double own = scenario_.reports_include_speed ? runners_[runner].speed : 1;
     return static_cast<std::uint32_t>(slowness(runner) * own * 100);
   }
 
   void schedule_arrival(WorkClass kind, TimePoint after) {
     const bool online = kind == WorkClass::kOnline;
     const double service_seconds = online ? 0.8 : 5.2;
-    const double slots = (online ? plan_.online_slots : plan_.batch_slots);
-    double rate = slots * static_cast<double>(plan_.nodes) / service_seconds;
+    const double slots = (online ? scenario_.online_slots : scenario_.batch_slots);
+    double rate = slots * static_cast<double>(scenario_.nodes) / service_seconds;
     const double moment = std::fmod(to_seconds(after - start_), kCycleSeconds);
     if (online) rate *= moment < kLowSeconds ? kLowRate : kHighRate;
     const TimePoint when = after + milliseconds(-std::log(1 - arrivals_.unit()) / rate * 1000);
-    if (when - start_ > plan_.span) return;
-    const std::size_t node = arrivals_.below(plan_.nodes);
+    if (when - start_ > scenario_.span) return;
+    const std::size_t node = arrivals_.below(scenario_.nodes);
     at(when, [this, kind, node] {
       auto work = std::make_shared<Work>();
       work->kind = kind;
@@ -153,17 +155,19 @@
     });
   }
 
-  void hear(SimulatedNode& node) {
+  void receive_updates(SimulatedNode& node) {
     const TimePoint known =
-        now_ - Duration(static_cast<Duration::rep>(noise_.below(plan_.most_delay.count() + 1)));
-    for (; node.heard < told_.size() && told_[node.heard].when <= known; ++node.heard) {
-      const Told& told = told_[node.heard];
-      if (nodes_[told.node].get() == &node) continue;
-      Runner& runner = *node.runners[told.runner];
-      runner.change_peer_use(told.requests, told.tokens, 0);
-      if (told.speed.runner == 0 || plan_.reports_lost) continue;
-      SpeedReport report = told.speed;
-      report.slowness_age_ms += static_cast<std::uint16_t>((now_ - told.when).count() / 1000);
+        now_ -
+        Duration(static_cast<Duration::rep>(noise_.below(scenario_.max_report_delay.count() + 1)));
+    for (; node.updates_seen < updates_.size() && updates_[node.updates_seen].when <= known;
+         ++node.updates_seen) {
+      const PeerUpdate& update = updates_[node.updates_seen];
+      if (nodes_[update.node].get() == &node) continue;
+      Runner& runner = *node.runners[update.runner];
+      runner.change_peer_use(update.requests, update.tokens, 0);
+      if (update.speed.runner == 0 || scenario_.drops_peer_reports) continue;
+      SpeedReport report = update.speed;
+      report.slowness_age_ms += static_cast<std::uint16_t>((now_ - update.when).count() / 1000);
       node.model.take(runner.speed(), report, now_);
     }
   }
@@ -179,7 +183,7 @@
     request.speeds = predicts_ ? &nodes_[work.node]->model : nullptr;
     request.needs = {.route = online ? 1U : 2U,
                      .first_event_due = work.arrival + kFirstEventObjective,
-                     .event_gap_objective = plan_.online_gap_objective};
+                     .event_gap_objective = scenario_.online_gap_objective};
     return request;
   }
 
@@ -192,7 +196,7 @@
 
   void dispatch(std::size_t index) {
     SimulatedNode& node = *nodes_[index];
-    hear(node);
+    receive_updates(node);
     for (auto& queue : node.waiting) {
       while (!queue.empty()) {
         const WorkPointer work = queue.front();
@@ -211,17 +215,17 @@
     });
   }
 
-  void tell(const Work& work, int requests, int tokens, bool speed) {
-    Told told{now_, work.node, work.runner, requests, tokens, {}};
-    if (speed) told.speed = work.choice.runner->speed().report(work.choice.runner->hash(), now_);
-    told_.push_back(told);
+  void publish(const Work& work, int requests, int tokens, bool speed) {
+    PeerUpdate update{now_, work.node, work.runner, requests, tokens, {}};
+    if (speed) update.speed = work.choice.runner->speed().report(work.choice.runner->hash(), now_);
+    updates_.push_back(update);
   }
 
   void send(const WorkPointer& work) {
     work->runner = by_hash_.at(work->choice.runner->hash());
     work->sent = now_;
     work->choice.runner->begin_attempt(kPromptTokens, work->kind);
-    tell(*work, 1, kPromptTokens, false);
+    publish(*work, 1, kPromptTokens, false);
     SimulatedRunner& runner = runners_[work->runner];
     if (runner.running < kSlots) {
       start(work);
@@ -230,7 +234,7 @@
     }
   }
 
-  /// Time between events: a full runner takes half as long again as an empty one.
+  /// Returns the time between events: a full runner takes 1.5 times as long as an empty one.
   Duration event_gap(std::size_t index) {
     const SimulatedRunner& runner = runners_[index];
     const double load = static_cast<double>(runner.running) / kSlots;
@@ -258,21 +262,21 @@
     const std::uint64_t route = work->kind == WorkClass::kOnline ? 1 : 2;
     node.model.observe_first_event(route, runner.speed(), work->choice.runner_work(),
                                    now_ - work->sent, now_);
-    tell(*work, 0, -static_cast<int>(kPromptTokens), true);
+    publish(*work, 0, -static_cast<int>(kPromptTokens), true);
     work->late_first = now_ > work->arrival + kFirstEventObjective;
     next_event(work);
   }
 
   void next_event(const WorkPointer& work) {
     const Duration gap = now_ - work->last_event;
-    if (work->events > 0 && gap > plan_.online_gap_objective) work->late_gap = true;
+    if (work->events > 0 && gap > scenario_.online_gap_objective) work->late_gap = true;
     work->last_event = now_;
     const std::uint32_t all = work->kind == WorkClass::kOnline ? kOnlineEvents : kBatchEvents;
     if (++work->events == all) {
       finish(work);
       return;
     }
-    if (work->events % kWindowEvents == 1) learn_gap(*work);
+    if (work->events % kGapWindowEvents == 1) learn_gap(*work);
     at(now_ + event_gap(work->runner), [this, work] { next_event(work); });
   }
 
@@ -281,7 +285,7 @@
     const std::uint64_t route = work.kind == WorkClass::kOnline ? 1 : 2;
     if (work.window_start != TimePoint{}) {
       nodes_[work.node]->model.observe_gap(route, runner.speed(), runner.load(now_),
-                                           (now_ - work.window_start) / kWindowEvents, now_);
+                                           (now_ - work.window_start) / kGapWindowEvents, now_);
     }
     work.window_start = now_;
   }
@@ -290,7 +294,7 @@
     SimulatedRunner& runner = runners_[work->runner];
     --runner.running;
     work->choice.runner->end_attempt(AttemptOutcome::kServed, now_, 0, work->kind);
-    tell(*work, -1, 0, false);
+    publish(*work, -1, 0, false);
     if (!runner.queue.empty()) {
       const WorkPointer next = runner.queue.front();
       runner.queue.pop_front();
@@ -301,7 +305,7 @@
   }
 
   void count(const Work& work) {
-    if (work.arrival - start_ < plan_.warm_up) return;
+    if (work.arrival - start_ < scenario_.warm_up) return;
     if (work.kind == WorkClass::kOnline) {
       ++result_.online;
       result_.late_first += work.late_first ? 1 : 0;
@@ -312,7 +316,7 @@
     }
   }
 
-  SpeedReplayPlan plan_;
+  SpeedReplayScenario scenario_;
   bool predicts_;
   const RunnerChooser& choose_;
   Random arrivals_;
@@ -322,7 +326,7 @@
   std::vector<SimulatedRunner> runners_;
   std::vector<std::unique_ptr<SimulatedNode>> nodes_;
   std::map<std::uint64_t, std::size_t> by_hash_;
-  std::deque<Told> told_;
+  std::deque<PeerUpdate> updates_;
   std::priority_queue<Event> events_;
   std::uint64_t next_event_ = 0;
   SpeedReplayResult result_;
@@ -330,9 +334,9 @@
 
 }  // namespace
 
-SpeedReplayResult replay_speeds(const SpeedReplayPlan& plan, bool predicts,
+SpeedReplayResult replay_speeds(const SpeedReplayScenario& scenario, bool predicts,
                                 const RunnerChooser& choose) {
-  return Replay(plan, predicts, choose).run();
+  return Replay(scenario, predicts, choose).run();
 }
 
 }  // namespace stoathold
--- a/tests/routing/speed_replay.h
+++ b/tests/routing/speed_replay.h
@@ -1,6 +1,6 @@
 /// @file
-/// Replays work on runners of uneven speed: nodes that choose by what they know of runners, runners
-/// that are slow now and then, and reports between them. No network; the clock is passed in.
+/// Simulates runners of different and varying speed, and nodes that select by what they know of
+/// them from delayed reports. No network; the clock is simulated.
 #pragma once
 
 #include <cstdint>
@@ -15,41 +15,43 @@
 
 namespace stoathold {
 
-/// What is played.
-struct SpeedReplayPlan {
-  std::size_t nodes = 9;  ///< And as many runners, of 8 slots.
+/// Parameters of a simulation.
+struct SpeedReplayScenario {
+  std::size_t nodes = 9;  ///< Number of nodes, and of runners with 8 slots.
   std::uint64_t seed = 1;
-  double online_slots = 4.0;  ///< That online work takes of a usual runner, in the mean.
-  double batch_slots = 1.5;   ///< The same of batch.
+  double online_slots = 4.0;  ///< Mean number of slots of an average runner used by online work.
+  double batch_slots = 1.5;   ///< The same for batch.
   Duration span = std::chrono::seconds(20);
-  Duration warm_up = std::chrono::seconds(6);           ///< Arrivals before that do not count.
-  Duration most_delay = std::chrono::milliseconds(50);  ///< Of reports between nodes.
+  Duration warm_up = std::chrono::seconds(6);                 ///< Earlier arrivals are not counted.
+  Duration max_report_delay = std::chrono::milliseconds(50);  ///< Of reports between nodes.
   Duration online_gap_objective = std::chrono::milliseconds(300);
-  bool reports_speed = false;       ///< What a runner reports holds its own speed too.
-  bool reports_lost = false;        ///< Nodes hear nothing of one another's speeds.
-  std::uint32_t false_percent = 0;  ///< What every tenth runner says of its slowness; 0: the truth.
+  bool reports_include_speed = false;  ///< Reported slowness includes the runner's own speed.
+  bool drops_peer_reports = false;     ///< Nodes do not receive each other's speed reports.
+  /// Slowness reported by every tenth runner; 0: the true one.
+  std::uint32_t false_slowness_percent = 0;
 };
 
-/// How it went.
+/// Counts of requests by result.
 struct SpeedReplayResult {
   std::uint64_t online = 0;
-  std::uint64_t late_first = 0;  ///< First event later than 300 ms after the arrival.
-  std::uint64_t late_gap = 0;    ///< In time for that, and a pause over the objective.
+  std::uint64_t late_first = 0;  ///< First event later than 300 ms after arrival.
+  std::uint64_t late_gap = 0;    ///< First event on time, but a gap above the objective.
   std::uint64_t batch = 0;
-  std::uint64_t late_batch = 0;  ///< Ended later than 18 s after the arrival.
+  std::uint64_t late_batch = 0;  ///< Completed later than 18 s after arrival.
 
-  [[nodiscard]] double late_in_100() const {
+  [[nodiscard]] double late_percent() const {
     return 100.0 * static_cast<double>(late_first + late_gap) / static_cast<double>(online);
   }
 };
 
-/// Chooses a runner: `select_runner`, or another way to compare with.
+/// Selects a runner: `select_runner`, or an alternative to compare it with.
 using RunnerChooser =
     std::function<Selection(const RunnerRegistry&, const SelectionRequest&, TimePoint)>;
 
-/// Plays the plan. Arrivals, sizes and slowness depend on the plan alone, whatever is chosen.
-/// @param predicts whether the request names what is known of times.
-SpeedReplayResult replay_speeds(const SpeedReplayPlan& plan, bool predicts,
+/// Runs a simulation. Arrivals, sizes and slowness depend only on the scenario, not on the
+/// selection.
+/// @param predicts whether requests are selected with latency predictions.
+SpeedReplayResult replay_speeds(const SpeedReplayScenario& scenario, bool predicts,
                                 const RunnerChooser& choose);
 
 }  // namespace stoathold
--- a/tests/routing/speed_replay_test.cc
+++ b/tests/routing/speed_replay_test.cc
@@ -1,7 +1,8 @@
-// Load: one customer's fleet of runners that take 0.6, 1.0 and 1.6 times the usual, on machines
-// that are 2.5 times slower for 15 in 100 of the time, anew each 0.6 s; arrivals swing between 0.38
-// and 1.87 of their mean; nodes hear of one another 0 to 50 ms late. Callers need the first event
-// within 300 ms. The aim is half as many late as by load alone, on the same arrivals.
+// Compares selection by predicted latency with selection by load on the same arrivals; the target
+// is half as many late requests. The scenario is a customer's fleet: runners take 0.6, 1.0 and 1.6
+// times the usual time, on machines that are 2.5 times slower for 15% of the time, in periods of
+// 0.6 s. Arrivals alternate between 0.38 and 1.87 of their mean, and nodes receive each other's
+// reports after 0 to 50 ms. The first event is due within 300 ms.
 #include "tests/routing/speed_replay.h"
 
 #include <gtest/gtest.h>
@@ -9,66 +10,67 @@
 namespace stoathold {
 namespace {
 
-double late_in_100(SpeedReplayPlan plan, bool predicts, std::uint64_t seeds) {
+double late_percent(SpeedReplayScenario scenario, bool predicts, std::uint64_t seeds) {
   std::uint64_t late = 0;
   std::uint64_t all = 0;
-  for (plan.seed = 1; plan.seed <= seeds; ++plan.seed) {
-    const SpeedReplayResult result = replay_speeds(plan, predicts, select_runner);
+  for (scenario.seed = 1; scenario.seed <= seeds; ++scenario.seed) {
+    const SpeedReplayResult result = replay_speeds(scenario, predicts, select_runner);
     late += result.late_first + result.late_gap;
     all += result.online;
   }
   return 100.0 * static_cast<double>(late) / static_cast<double>(all);
 }
 
-TEST(SpeedReplayTest, HalfAsManyAreLateAt89Nodes) {
-  const SpeedReplayPlan plan{.nodes = 89, .online_slots = 2.8, .batch_slots = 1};
-  EXPECT_LE(late_in_100(plan, true, 2), 0.5 * late_in_100(plan, false, 2));
+TEST(SpeedReplayTest, PredictionHalvesLateRequestsAt89Nodes) {
+  const SpeedReplayScenario scenario{.nodes = 89, .online_slots = 2.8, .batch_slots = 1};
+  EXPECT_LE(late_percent(scenario, true, 2), 0.5 * late_percent(scenario, false, 2));
 }
 
-TEST(SpeedReplayTest, HalfAsManyAreLateAt295Nodes) {
-  const SpeedReplayPlan plan{
+TEST(SpeedReplayTest, PredictionHalvesLateRequestsAt295Nodes) {
+  const SpeedReplayScenario scenario{
       .nodes = 295, .online_slots = 2.8, .batch_slots = 1, .span = std::chrono::seconds(14)};
-  EXPECT_LE(late_in_100(plan, true, 1), 0.5 * late_in_100(plan, false, 1));
+  EXPECT_LE(late_percent(scenario, true, 1), 0.5 * late_percent(scenario, false, 1));
 }
 
-/// A zone of the customer's fleet of 89.
-TEST(SpeedReplayTest, HalfAsManyAreLateInAZoneOf30Nodes) {
-  const SpeedReplayPlan plan{.nodes = 30, .online_slots = 2.6, .batch_slots = 1};
-  EXPECT_LE(late_in_100(plan, true, 10), 0.5 * late_in_100(plan, false, 10));
+/// One zone of the customer's fleet of 89.
+TEST(SpeedReplayTest, PredictionHalvesLateRequestsInZoneOf30Nodes) {
+  const SpeedReplayScenario scenario{.nodes = 30, .online_slots = 2.6, .batch_slots = 1};
+  EXPECT_LE(late_percent(scenario, true, 10), 0.5 * late_percent(scenario, false, 10));
 }
 
-TEST(SpeedReplayTest, HalfAsManyAreLateWhereRunnersReportTheirOwnSpeedToo) {
-  const SpeedReplayPlan plan{
-      .nodes = 30, .online_slots = 2.6, .batch_slots = 1, .reports_speed = true};
-  EXPECT_LE(late_in_100(plan, true, 10), 0.5 * late_in_100(plan, false, 10));
+TEST(SpeedReplayTest, PredictionHalvesLateRequestsIfReportsIncludeRunnerSpeed) {
+  const SpeedReplayScenario scenario{
+      .nodes = 30, .online_slots = 2.6, .batch_slots = 1, .reports_include_speed = true};
+  EXPECT_LE(late_percent(scenario, true, 10), 0.5 * late_percent(scenario, false, 10));
 }
 
-// Pauses that the slow runners of a fleet cannot hold at the slow moments of their machines.
-TEST(SpeedReplayTest, HalfAsManyAreLateWherePausesBind) {
-  const SpeedReplayPlan plan{.nodes = 9,
-                             .online_slots = 2.5,
-                             .batch_slots = 1,
-                             .online_gap_objective = std::chrono::milliseconds(160)};
-  EXPECT_LE(late_in_100(plan, true, 20), 0.5 * late_in_100(plan, false, 20));
+// The slow runners of the fleet exceed this gap objective while their machines are slow.
+TEST(SpeedReplayTest, PredictionHalvesLateRequestsIfGapObjectiveBinds) {
+  const SpeedReplayScenario scenario{.nodes = 9,
+                                     .online_slots = 2.5,
+                                     .batch_slots = 1,
+                                     .online_gap_objective = std::chrono::milliseconds(160)};
+  EXPECT_LE(late_percent(scenario, true, 20), 0.5 * late_percent(scenario, false, 20));
 }
 
-// Nine nodes fill no runner by choosing at once: what is late there waits for room.
-TEST(SpeedReplayTest, NoMoreAreLateAtNineNodes) {
-  const SpeedReplayPlan plan{.nodes = 9, .online_slots = 3, .batch_slots = 1};
-  EXPECT_LE(late_in_100(plan, true, 8), late_in_100(plan, false, 8));
+// Nine nodes do not overload a runner by simultaneous selection: their late requests wait for free
+// slots.
+TEST(SpeedReplayTest, PredictionDoesNotIncreaseLateRequestsAtNineNodes) {
+  const SpeedReplayScenario scenario{.nodes = 9, .online_slots = 3, .batch_slots = 1};
+  EXPECT_LE(late_percent(scenario, true, 8), late_percent(scenario, false, 8));
 }
 
-TEST(SpeedReplayTest, HalfAsManyAreLateWhereNodesHearNothingOfOthersSpeeds) {
-  const SpeedReplayPlan plan{
-      .nodes = 89, .online_slots = 2.8, .batch_slots = 1, .reports_lost = true};
-  EXPECT_LE(late_in_100(plan, true, 2), 0.5 * late_in_100(plan, false, 2));
+TEST(SpeedReplayTest, PredictionHalvesLateRequestsWithoutPeerReports) {
+  const SpeedReplayScenario scenario{
+      .nodes = 89, .online_slots = 2.8, .batch_slots = 1, .drops_peer_reports = true};
+  EXPECT_LE(late_percent(scenario, true, 2), 0.5 * late_percent(scenario, false, 2));
 }
 
-TEST(SpeedReplayTest, HalfAsManyAreLateWhereRunnersLieAboutTheirSlowness) {
+TEST(SpeedReplayTest, PredictionHalvesLateRequestsDespiteFalseReports) {
   for (const std::uint32_t percent : {kLeastSlownessPercent, kMostSlownessPercent}) {
-    const SpeedReplayPlan plan{
-        .nodes = 89, .online_slots = 2.8, .batch_slots = 1, .false_percent = percent};
-    EXPECT_LE(late_in_100(plan, true, 1), 0.5 * late_in_100(plan, false, 1)) << percent;
+    const SpeedReplayScenario scenario{
+        .nodes = 89, .online_slots = 2.8, .batch_slots = 1, .false_slowness_percent = percent};
+    EXPECT_LE(late_percent(scenario, true, 1), 0.5 * late_percent(scenario, false, 1)) << percent;
   }
 }
 
