--- a/src/routing/batch_turns.cc
+++ b/src/routing/batch_turns.cc
@@ -55,8 +55,8 @@
     peers_.erase(node);
   } else {
     if (!peers_.contains(node)) {
-      std::erase_if(peers_,
-                    [&](const auto& peer) { return now - peer.second.heard > kPeerLifetime; });
+      std::erase_if(
+          peers_, [&](const auto& peer) { return now - peer.second.received_at > kPeerLifetime; });
     }
     peers_[node] = {waits, now};
   }
@@ -70,7 +70,7 @@
     contenders.push_back({self_, count_of(own->second, urgency)});
   }
   for (const auto& [node, peer] : peers_) {
-    if (now - peer.heard > kPeerLifetime) continue;
+    if (now - peer.received_at > kPeerLifetime) continue;
     for (const BatchWait& wait : peer.waits) {
       const std::uint16_t items = count_of(wait, urgency);
       if (wait.service == service && items > 0) contenders.push_back({node, items});
--- a/src/routing/batch_turns.h
+++ b/src/routing/batch_turns.h
@@ -68,7 +68,7 @@
  private:
   struct Peer {
     std::vector<BatchWait> waits;
-    TimePoint heard{};
+    TimePoint received_at{};
   };
   using QueueKey = std::pair<std::uint64_t, ItemUrgency>;  ///< Service and urgency of items.
   /// Ranks of this node at runners, for one group of items.
--- a/src/routing/runner_registry.cc
+++ b/src/routing/runner_registry.cc
@@ -29,10 +29,10 @@
 /// Its health state has expired by then: the longest ejection is 4 s.
 constexpr Duration kRetiredLifetime = std::chrono::seconds(10);
 
-/// Returns the milliseconds since a moment, for logs; `never` for a zero time.
-std::string age_text(TimePoint moment, TimePoint now) {
-  if (moment == TimePoint{}) return "never";
-  const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - moment);
+/// Returns the milliseconds since `time`, for logs; `never` if it is zero.
+std::string age_text(TimePoint time, TimePoint now) {
+  if (time == TimePoint{}) return "never";
+  const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - time);
   return std::to_string(age.count());
 }
 
@@ -361,8 +361,8 @@
 
 std::optional<TimePoint> RunnerRegistry::last_heard(std::uint64_t hash) const {
   const Runner* runner = find_hash(hash);
-  const bool heard = runner != nullptr && runner->last_heard() != TimePoint{};
-  return heard ? std::optional(runner->last_heard()) : std::nullopt;
+  const bool has_received = runner != nullptr && runner->last_heard() != TimePoint{};
+  return has_received ? std::optional(runner->last_heard()) : std::nullopt;
 }
 
 const std::vector<std::shared_ptr<Runner>>& RunnerRegistry::of_service(
--- a/src/routing/runner_registry.h
+++ b/src/routing/runner_registry.h
@@ -71,6 +71,7 @@
   /// Identifies the runner across restarts. Prefix affinity depends on it, so that a restart does
   /// not move prefixes that other runners cache.
   [[nodiscard]] std::uint64_t affinity_hash() const { return affinity_hash_; }
+  /// Updates the directory record.
   /// @param record of the same incarnation.
   void set_record(RunnerRecord record) { record_ = std::move(record); }
 
@@ -81,13 +82,16 @@
   /// Marks it as listed again and available: any earlier shutdown notice is outdated.
   void relist(RunnerRecord record);
 
-  /// @param tokens prompt tokens that the runner is expected to process for the attempt.
+  /// Counts an attempt as in flight.
+  /// @param tokens prompt tokens that the runner is expected to process for it.
   void begin_attempt(std::uint32_t tokens = 0, WorkClass work = WorkClass::kOnline);
   /// Must be called when the response to an attempt begins: the runner has processed its prompt.
   void prompt_read(std::uint32_t tokens);
+  /// Ends an attempt and updates the runner's health by its outcome.
   /// @param unprocessed tokens passed to `begin_attempt` that the runner has not processed.
   void end_attempt(AttemptOutcome outcome, TimePoint now, std::uint32_t unprocessed = 0,
                    WorkClass work = WorkClass::kOnline);
+  /// Applies a load report of the runner.
   void take_report(const LoadReport& report, TimePoint now);
   /// Records that bytes were received from the runner.
   void heard(TimePoint now) { last_receive_time_ = now; }
--- a/src/routing/runner_selector.cc
+++ b/src/routing/runner_selector.cc
@@ -48,17 +48,18 @@
 
 /// Returns the runners that may be tried. Ejected runners, and those without memory for the
 /// request, are returned only if there are no others.
-std::vector<Candidate> collect(const std::vector<std::shared_ptr<Runner>>& runners,
-                               const SelectionRequest& request, TimePoint now) {
+std::vector<Candidate> collect_candidates(const std::vector<std::shared_ptr<Runner>>& runners,
+                                          const SelectionRequest& request, TimePoint now) {
   std::vector<Candidate> healthy;
-  std::vector<Candidate> ejected;
+  std::vector<Candidate> fallback;
   for (const auto& runner : runners) {
     if (!runner->available() || is_excluded(request, *runner)) continue;
-    const bool spared = runner->ejected(now) || !runner->memory().fits(request.prompt_tokens, now);
-    auto& target = spared ? ejected : healthy;
+    const bool deprioritized =
+        runner->ejected(now) || !runner->memory().fits(request.prompt_tokens, now);
+    auto& target = deprioritized ? fallback : healthy;
     target.push_back({runner, runner->load(now)});
   }
-  return healthy.empty() ? ejected : healthy;
+  return healthy.empty() ? fallback : healthy;
 }
 
 /// Drops runners whose latency is an outlier. A runner on probation gets one request at a time.
@@ -75,8 +76,10 @@
   const std::vector<OutlierVerdict> verdicts = detect_outliers(counts);
   std::vector<Candidate> left;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
-    const bool busy_trial = verdicts[i] == OutlierVerdict::kOnProbation && candidates[i].load > 0;
-    if (verdicts[i] != OutlierVerdict::kAvoided && !busy_trial) left.push_back(candidates[i]);
+    const bool busy_on_probation =
+        verdicts[i] == OutlierVerdict::kOnProbation && candidates[i].load > 0;
+    if (verdicts[i] != OutlierVerdict::kAvoided && !busy_on_probation)
+      left.push_back(candidates[i]);
   }
   candidates = std::move(left);
 }
@@ -87,8 +90,8 @@
   std::erase_if(candidates, [&](const Candidate& candidate) {
     const Runner& runner = *candidate.runner;
     const double half_slot = 0.5 / runner.slots();
-    const bool only_full = candidate.load < 1 + half_slot;
-    return runner.preemptible() == 0 || !only_full || runner.record().zone != zone;
+    const bool is_just_full = candidate.load < 1 + half_slot;
+    return runner.preemptible() == 0 || !is_just_full || runner.record().zone != zone;
   });
   for (auto& candidate : candidates) {
     candidate.load -=
@@ -97,7 +100,7 @@
 }
 
 /// Returns whether the candidate has an unused slot borrowed from another zone, whatever its load.
-bool is_lent(const Candidate& candidate, const SelectionRequest& request, TimePoint now) {
+bool has_borrowed_slot(const Candidate& candidate, const SelectionRequest& request, TimePoint now) {
   const Runner& runner = *candidate.runner;
   return request.borrowed_only && runner.record().zone != request.zone &&
          runner.unused_borrowed(now) > 0;
@@ -105,29 +108,29 @@
 
 /// Nodes of other zones use their runners without informing this node. A remote runner therefore
 /// receives work only with a recent load report, or as one of a few probes that make it report.
-bool may_spill_to(const Candidate& candidate, std::size_t trials, TimePoint now) {
+bool may_spill_to(const Candidate& candidate, std::size_t probes, TimePoint now) {
   if (candidate.runner->zone_load_known(now)) return candidate.load < kRemoteLoadLimit;
   if (candidate.runner->load_known(now)) return true;
-  return candidate.runner->in_flight() == 0 && trials < kMaxSpillProbes;
+  return candidate.runner->in_flight() == 0 && probes < kMaxSpillProbes;
 }
 
 std::vector<Candidate> prefer_zone(const std::vector<Candidate>& candidates,
                                    const std::string& zone, TimePoint now) {
   std::vector<Candidate> local;
   std::vector<Candidate> remote;
-  std::size_t trials = 0;
+  std::size_t probes = 0;
   for (const auto& candidate : candidates) {
     if (candidate.runner->record().zone == zone) {
       local.push_back(candidate);
     } else if (!candidate.runner->load_known(now) && candidate.runner->in_flight() > 0) {
-      ++trials;
+      ++probes;
     }
   }
   std::erase_if(local, [](const Candidate& candidate) { return candidate.load >= kZoneSpillLoad; });
   if (!local.empty()) return local;
   for (const auto& candidate : candidates) {
     const bool is_local = candidate.runner->record().zone == zone;
-    if (is_local || may_spill_to(candidate, trials, now)) remote.push_back(candidate);
+    if (is_local || may_spill_to(candidate, probes, now)) remote.push_back(candidate);
   }
   return remote;
 }
@@ -139,20 +142,20 @@
                                                 const std::vector<Candidate>& candidates,
                                                 const SelectionRequest& request, TimePoint now) {
   std::vector<Candidate> local;
-  std::vector<Candidate> unlent;
-  std::vector<Candidate> lent;
+  std::vector<Candidate> not_lending;
+  std::vector<Candidate> borrowed;
   for (const auto& candidate : candidates) {
     const std::string& zone = candidate.runner->record().zone;
     if (zone == request.zone) {
       local.push_back(candidate);
-    } else if (is_lent(candidate, request, now)) {
-      lent.push_back(candidate);
+    } else if (has_borrowed_slot(candidate, request, now)) {
+      borrowed.push_back(candidate);
     } else if (!registry.zone_lends(zone)) {
-      unlent.push_back(candidate);
+      not_lending.push_back(candidate);
     }
   }
   if (!local.empty()) return local;
-  return lent.empty() ? prefer_zone(unlent, request.zone, now) : lent;
+  return borrowed.empty() ? prefer_zone(not_lending, request.zone, now) : borrowed;
 }
 
 /// Keeps the runners at which this node may currently place batch items.
@@ -204,10 +207,10 @@
   kLate,
 };
 
-Timeliness online_timeliness(const ExpectedTimes& expected, const LatencyObjectives& needs,
+Timeliness online_timeliness(const ExpectedTimes& expected, const LatencyObjectives& objectives,
                              TimePoint now) {
-  const Duration gap = needs.event_gap_objective;
-  if (now + expected.first_event > needs.first_event_due) return Timeliness::kLate;
+  const Duration gap = objectives.event_gap_objective;
+  if (now + expected.first_event > objectives.first_event_due) return Timeliness::kLate;
   if (gap.count() == 0 || expected.longest_gap <= gap) return Timeliness::kOnTimeAtSlowest;
   return expected.event_gap <= gap ? Timeliness::kOnTimeNow : Timeliness::kLate;
 }
@@ -233,9 +236,10 @@
                                      [&](const Candidate& left, const Candidate& right) {
                                        return timeliness(left) < timeliness(right);
                                      });
-  const Timeliness most = timeliness(*best);
-  std::erase_if(candidates,
-                [&](const Candidate& candidate) { return timeliness(candidate) > most; });
+  const Timeliness best_timeliness = timeliness(*best);
+  std::erase_if(candidates, [&](const Candidate& candidate) {
+    return timeliness(candidate) > best_timeliness;
+  });
 }
 
 /// Returns the lowest_cost lightly loaded runner with a reusable connection. Without one, returns
@@ -300,13 +304,13 @@
   const Candidate& right = candidates[second < first || others == 0 ? second : second + 1];
   const Candidate& better = left.cost <= right.cost ? left : right;
   if (!request.connected) return better;
-  const double most = better.cost * (1 + kConnectionReuseBonus);
-  std::vector<const Candidate*> as_good;
+  const double max_cost = better.cost * (1 + kConnectionReuseBonus);
+  std::vector<const Candidate*> connected;
   for (const Candidate& candidate : candidates) {
-    if (candidate.cost > most || !request.connected(*candidate.runner)) continue;
-    as_good.push_back(&candidate);
+    if (candidate.cost > max_cost || !request.connected(*candidate.runner)) continue;
+    connected.push_back(&candidate);
   }
-  return as_good.empty() ? better : *as_good[process_random().below(as_good.size())];
+  return connected.empty() ? better : *connected[process_random().below(connected.size())];
 }
 
 /// Selects by predicted latency.
@@ -323,7 +327,7 @@
                         TimePoint now) {
   Selection selection;
   const auto& runners = registry.of_service(request.service);
-  std::vector<Candidate> candidates = collect(runners, request, now);
+  std::vector<Candidate> candidates = collect_candidates(runners, request, now);
   if (candidates.empty()) {
     selection.failure =
         runners.empty() ? SelectionFailure::kUnknownService : SelectionFailure::kAllExcluded;
@@ -335,7 +339,7 @@
   if (request.turns != nullptr) keep_assigned(candidates, request, now);
   if (request.load_limit > 0) {
     std::erase_if(candidates, [&](const Candidate& candidate) {
-      return candidate.load >= request.load_limit && !is_lent(candidate, request, now);
+      return candidate.load >= request.load_limit && !has_borrowed_slot(candidate, request, now);
     });
     if (candidates.empty()) {
       selection.failure = SelectionFailure::kAllBusy;
--- a/src/routing/runner_speed.cc
+++ b/src/routing/runner_speed.cc
@@ -86,8 +86,8 @@
     unshared_ = true;
   }
   if (reported < reported_at_) return;
-  const bool doubled = reported == reported_at_ && percent == percent_;
-  if (!doubled) {
+  const bool is_duplicate = reported == reported_at_ && percent == percent_;
+  if (!is_duplicate) {
     reports_ = std::min(reports_ + 1, kReportsKept);
     mean_percent_ += (percent - mean_percent_) / reports_;
   }
@@ -95,9 +95,9 @@
   reported_at_ = reported;
 }
 
-double RunnerSpeed::slowness(double usual, TimePoint now) const {
-  const double mean =
-      (usual * kPriorReports + mean_percent_ / kPercent * reports_) / (kPriorReports + reports_);
+double RunnerSpeed::slowness(double mean_of_all, TimePoint now) const {
+  const double mean = (mean_of_all * kPriorReports + mean_percent_ / kPercent * reports_) /
+                      (kPriorReports + reports_);
   if (reported_at_ == TimePoint{}) return mean;
   const double age = to_seconds(now - reported_at_) / to_seconds(kSlownessLifetime);
   const double freshness = std::clamp(1 - age, 0.0, 1.0);
@@ -105,10 +105,10 @@
 }
 
 void RunnerSpeed::learn(double ratio) {
-  const double most = std::log(kMaxRatio);
+  const double max_step = std::log(kMaxRatio);
   const double step = 1 / (std::min<double>(samples_, kSamplesKept) + 1 + kPriorSamples);
   const double difference = std::log(ratio) - log_relative_time_;
-  log_relative_time_ += step * std::clamp(difference, -most, most);
+  log_relative_time_ += step * std::clamp(difference, -max_step, max_step);
   log_relative_time_ *= 1 - kMeanReversion;
   ++samples_;
 }
@@ -175,11 +175,11 @@
   constexpr int kRounds = 4;  // Starts from the last solution, which a sample changes little.
   for (int round = 0; round < kRounds; ++round) {
     for (std::size_t row = 0; row < kTerms; ++row) {
-      double rest = moments_[row] + kPriorWeight * prior_[row];
+      double residual = moments_[row] + kPriorWeight * prior_[row];
       for (std::size_t column = 0; column < kTerms; ++column) {
-        if (column != row) rest -= products_[row][column] * solution_[column];
+        if (column != row) residual -= products_[row][column] * solution_[column];
       }
-      solution_[row] = std::max(0.0, rest / (products_[row][row] + kPriorWeight));
+      solution_[row] = std::max(0.0, residual / (products_[row][row] + kPriorWeight));
     }
   }
 }
@@ -222,8 +222,8 @@
   const double slowness = runner.slowness(mean_slowness_, now);
   const double mean_ms = std::max(1.0, to_ms(fit.expected(work)));
   if (fit.samples() >= kMinSamplesForOutliers) {
-    const double moment = std::min(peak_slowness_, kMaxPeakToMeanSlowness * mean_slowness_);
-    const double slowest = std::max(slowness, moment) * runner.relative_time();
+    const double peak = std::min(peak_slowness_, kMaxPeakToMeanSlowness * mean_slowness_);
+    const double slowest = std::max(slowness, peak) * runner.relative_time();
     runner.latency_outliers().count(is_latency_outlier(time, from_ms(mean_ms * slowest)), now);
   }
   const double ratio = std::max(0.01, to_ms(time) / slowness / mean_ms);
@@ -243,9 +243,9 @@
 
 ExpectedTimes SpeedModel::expected(std::uint64_t route, const RunnerSpeed& runner,
                                    const RunnerWork& work, TimePoint now) const {
-  static const RouteLatencyModel kUnseen;
+  static const RouteLatencyModel kNoSamples;
   const auto found = routes_.find(route);
-  const RouteLatencyModel& times = found == routes_.end() ? kUnseen : found->second;
+  const RouteLatencyModel& times = found == routes_.end() ? kNoSamples : found->second;
   const double relative_time = runner.relative_time();
   const double slowness = runner.slowness(mean_slowness_, now);
   // A stream lasts while other requests come and go, so its gaps are predicted for a full runner.
--- a/src/routing/runner_speed.h
+++ b/src/routing/runner_speed.h
@@ -55,8 +55,8 @@
   /// Returns the current time of work there as a multiple of the usual time. The last report fades
   /// with its age to the runner's own mean, since runners that are slower by design always report
   /// more.
-  /// @param usual mean slowness of all runners, assumed for a runner with few reports.
-  [[nodiscard]] double slowness(double usual, TimePoint now) const;
+  /// @param mean_of_all mean slowness of all runners, assumed for a runner with few reports.
+  [[nodiscard]] double slowness(double mean_of_all, TimePoint now) const;
 
   /// Learns from a response that took `ratio` times as long as the mean runner's would have.
   void learn(double ratio);
--- a/src/routing/slow_answers.cc
+++ b/src/routing/slow_answers.cc
@@ -24,17 +24,18 @@
 constexpr double kMaxPeerOutlierFraction = 0.25;
 constexpr std::size_t kRunnersPerOutlier = 4;
 
-double part(const OutlierCounts& counts) {
+double outlier_fraction(const OutlierCounts& counts) {
   const double all = counts.outliers + counts.normal;
   return all > 0 ? counts.outliers / all : 0;
 }
 
-OutlierVerdict judge(const OutlierCounts& counts, const OutlierCounts& pool) {
-  if (counts.outliers < kMinOutliersForProbation || part(counts) < kMinOutlierFraction)
+OutlierVerdict classify(const OutlierCounts& counts, const OutlierCounts& total) {
+  if (counts.outliers < kMinOutliersForProbation || outlier_fraction(counts) < kMinOutlierFraction)
     return OutlierVerdict::kNone;
-  const OutlierCounts others{pool.outliers - counts.outliers, pool.normal - counts.normal};
+  const OutlierCounts others{total.outliers - counts.outliers, total.normal - counts.normal};
   const bool nothing_to_compare = others.outliers + others.normal < kMinOutliersForProbation;
-  if (nothing_to_compare || part(others) >= kMaxPeerOutlierFraction) return OutlierVerdict::kNone;
+  if (nothing_to_compare || outlier_fraction(others) >= kMaxPeerOutlierFraction)
+    return OutlierVerdict::kNone;
   return counts.outliers >= kMinOutliersToAvoid ? OutlierVerdict::kAvoided
                                                 : OutlierVerdict::kOnProbation;
 }
@@ -77,15 +78,15 @@
 }
 
 std::vector<OutlierVerdict> detect_outliers(const std::vector<OutlierCounts>& counts) {
-  OutlierCounts pool;
-  for (const OutlierCounts& of_runner : counts) pool += of_runner;
+  OutlierCounts total;
+  for (const OutlierCounts& of_runner : counts) total += of_runner;
   std::vector<OutlierVerdict> verdicts;
-  std::size_t marked = 0;
+  std::size_t flagged = 0;
   for (const OutlierCounts& of_runner : counts) {
-    verdicts.push_back(judge(of_runner, pool));
-    if (verdicts.back() != OutlierVerdict::kNone) ++marked;
+    verdicts.push_back(classify(of_runner, total));
+    if (verdicts.back() != OutlierVerdict::kNone) ++flagged;
   }
-  if (marked * kRunnersPerOutlier > counts.size()) {
+  if (flagged * kRunnersPerOutlier > counts.size()) {
     std::fill(verdicts.begin(), verdicts.end(), OutlierVerdict::kNone);
   }
   return verdicts;
--- a/tests/routing/placement_queue_test.cc
+++ b/tests/routing/placement_queue_test.cc
@@ -166,7 +166,8 @@
   wait("first", make_request(WorkClass::kOnline));
   wait("rejected", make_request(WorkClass::kOnline));
   EXPECT_EQ(order, (std::vector<std::string>{"first", "rejected without"}));
-  EXPECT_EQ(queue.online_demand().size(), 1U) << "the other nodes of the zone are told";
+  EXPECT_EQ(queue.online_demand().size(), 1U)
+      << "the demand is reported to the other nodes of the zone";
   PlacementRequest batch = make_request(WorkClass::kBatch);
   batch.selection.load_limit = 0.3;
   wait("batch", batch);
@@ -180,12 +181,12 @@
 
 TEST_F(PlacementQueueTest, BatchReservesOnlyFractionForReturningCallers) {
   registry.upsert({"r1", "chat", "10.0.0.1:80", "zone", 10, false});
-  double part = 0.5;
-  queue.decisions().batch_leaves = [&](const std::string&, TimePoint) { return part; };
+  double fraction = 0.5;
+  queue.decisions().batch_leaves = [&](const std::string&, TimePoint) { return fraction; };
   for (int i = 0; i < 5; ++i) registry.all().at("r1")->begin_attempt();
   wait("batch", make_request(WorkClass::kBatch));
   EXPECT_TRUE(order.empty());
-  part = 0.4;
+  fraction = 0.4;
   queue.loads_changed();
   run();
   EXPECT_EQ(order, (std::vector<std::string>{"batch"}));
--- a/tests/routing/runner_speed_test.cc
+++ b/tests/routing/runner_speed_test.cc
@@ -12,7 +12,7 @@
 constexpr RunnerWork kWork{.pending_prompt_tokens = 450, .load = 0.5};
 
 /// Feeds responses of a runner that take `times` times the mean of 50 ms.
-void answer(SpeedModel& model, RunnerSpeed& runner, double times, int count) {
+void feed_responses(SpeedModel& model, RunnerSpeed& runner, double times, int count) {
   for (int i = 0; i < count; ++i) {
     model.observe_first_event(kRoute, runner, kWork, scale(milliseconds(50), times), kNow);
   }
@@ -54,16 +54,16 @@
 TEST(RunnerSpeedTest, RunnersOfThreeSpeedsAreDistinguished) {
   SpeedModel model;
   RunnerSpeed fast;
-  RunnerSpeed usual;
+  RunnerSpeed average;
   RunnerSpeed slow;
   for (int i = 0; i < 100; ++i) {
-    answer(model, fast, 0.6, 1);
-    answer(model, usual, 1.0, 1);
-    answer(model, slow, 1.6, 1);
+    feed_responses(model, fast, 0.6, 1);
+    feed_responses(model, average, 1.0, 1);
+    feed_responses(model, slow, 1.6, 1);
   }
   // Only the ratios matter, since the mean is learned along with them.
-  EXPECT_NEAR(slow.relative_time() / usual.relative_time(), 1.6, 0.1);
-  EXPECT_NEAR(fast.relative_time() / usual.relative_time(), 0.6, 0.05);
+  EXPECT_NEAR(slow.relative_time() / average.relative_time(), 1.6, 0.1);
+  EXPECT_NEAR(fast.relative_time() / average.relative_time(), 0.6, 0.05);
   EXPECT_NEAR(first_event_ms(model, slow), 80, 6);
   EXPECT_NEAR(first_event_ms(model, fast), 30, 3);
   // A new runner is assumed to be average.
@@ -74,9 +74,9 @@
 TEST(RunnerSpeedTest, SingleOutlierChangesLittle) {
   SpeedModel model;
   RunnerSpeed runner;
-  answer(model, runner, 1, 50);
+  feed_responses(model, runner, 1, 50);
   const double before = first_event_ms(model, runner);
-  answer(model, runner, 20, 1);
+  feed_responses(model, runner, 20, 1);
   EXPECT_LT(first_event_ms(model, runner), before * 1.15);
 }
 
@@ -84,11 +84,11 @@
   SpeedModel model;
   RunnerSpeed others;
   RunnerSpeed runner;
-  answer(model, others, 1, 100);
-  answer(model, runner, 1, 100);
+  feed_responses(model, others, 1, 100);
+  feed_responses(model, runner, 1, 100);
   for (int i = 0; i < 40; ++i) {
-    answer(model, others, 1, 3);
-    answer(model, runner, 1.6, 1);
+    feed_responses(model, others, 1, 3);
+    feed_responses(model, runner, 1.6, 1);
   }
   EXPECT_NEAR(runner.relative_time() / others.relative_time(), 1.6, 0.2);
 }
@@ -102,8 +102,8 @@
     const bool slow = i % 4 == 0;
     model.take_slowness(steady, 100, kNow, true);
     model.take_slowness(changing, slow ? 250 : 100, kNow, true);
-    answer(model, steady, 1, 1);
-    answer(model, changing, slow ? 2.5 : 1, 1);
+    feed_responses(model, steady, 1, 1);
+    feed_responses(model, changing, slow ? 2.5 : 1, 1);
   }
   EXPECT_NEAR(changing.relative_time() / steady.relative_time(), 1, 0.05);
   model.take_slowness(changing, 250, kNow, true);
@@ -113,15 +113,15 @@
 // The model compensates for a runner that always reports to be slower or faster than it is.
 TEST(RunnerSpeedTest, ConstantFalseReportIsCompensated) {
   SpeedModel model;
-  RunnerSpeed honest;
-  RunnerSpeed liar;
+  RunnerSpeed accurate;
+  RunnerSpeed misreporting;
   for (int i = 0; i < 300; ++i) {
-    model.take_slowness(honest, 100, kNow, true);
-    model.take_slowness(liar, 400, kNow, true);
-    answer(model, honest, 1, 1);
-    answer(model, liar, 1, 1);
+    model.take_slowness(accurate, 100, kNow, true);
+    model.take_slowness(misreporting, 400, kNow, true);
+    feed_responses(model, accurate, 1, 1);
+    feed_responses(model, misreporting, 1, 1);
   }
-  EXPECT_NEAR(first_event_ms(model, liar), first_event_ms(model, honest), 12);
+  EXPECT_NEAR(first_event_ms(model, misreporting), first_event_ms(model, accurate), 12);
 }
 
 TEST(RunnerSpeedTest, PendingTokensAndLoadAreWeightedByCost) {
@@ -160,7 +160,7 @@
 TEST(RunnerSpeedTest, DuplicateRelativeTimeReportCountsOnce) {
   SpeedModel model;
   RunnerSpeed runner;
-  answer(model, runner, 1, 10);
+  feed_responses(model, runner, 1, 10);
   const SpeedReport report{1, 0, 0, 410, 16};
   model.take(runner, report, kNow);
   const double once = runner.relative_time();
--- a/tests/routing/slow_answers_test.cc
+++ b/tests/routing/slow_answers_test.cc
@@ -21,9 +21,9 @@
 class OutlierDetectionTest : public testing::Test {
  protected:
   static constexpr std::size_t kRunners = 10;
-  void answers(std::size_t runner, int slow, int usual, TimePoint now = kStart) {
-    for (int i = 0; i < slow; ++i) runners[runner].count(true, now);
-    for (int i = 0; i < usual; ++i) runners[runner].count(false, now);
+  void feed_responses(std::size_t runner, int outliers, int normal, TimePoint now = kStart) {
+    for (int i = 0; i < outliers; ++i) runners[runner].count(true, now);
+    for (int i = 0; i < normal; ++i) runners[runner].count(false, now);
   }
   std::vector<OutlierVerdict> verdicts(TimePoint now = kStart) const {
     std::vector<OutlierCounts> counts;
@@ -38,43 +38,43 @@
 };
 
 TEST_F(OutlierDetectionTest, SingleSlowRunnerIsAvoidedThenProbedThenRestored) {
-  for (std::size_t i = 0; i < kRunners; ++i) answers(i, 0, 10);
+  for (std::size_t i = 0; i < kRunners; ++i) feed_responses(i, 0, 10);
   runners[3] = {};
-  answers(3, 3, 0);
+  feed_responses(3, 3, 0);
   EXPECT_EQ(verdicts()[3], OutlierVerdict::kAvoided);
   EXPECT_EQ(marked(verdicts()), 1U);
   EXPECT_EQ(verdicts(kStart + milliseconds(700))[3], OutlierVerdict::kOnProbation);
   // One more outlier during probation makes it avoided again.
-  answers(3, 1, 0, kStart + milliseconds(700));
+  feed_responses(3, 1, 0, kStart + milliseconds(700));
   EXPECT_EQ(verdicts(kStart + milliseconds(700))[3], OutlierVerdict::kAvoided);
   EXPECT_EQ(verdicts(kStart + milliseconds(5000))[3], OutlierVerdict::kNone);
 }
 
 TEST_F(OutlierDetectionTest, TwoOutliersAreNotEnough) {
-  for (std::size_t i = 0; i < kRunners; ++i) answers(i, 0, 10);
-  answers(3, 2, 0);
+  for (std::size_t i = 0; i < kRunners; ++i) feed_responses(i, 0, 10);
+  feed_responses(3, 2, 0);
   EXPECT_EQ(verdicts()[3], OutlierVerdict::kNone);
 }
 
 TEST_F(OutlierDetectionTest, NoRunnerIsAvoidedIfAllAreSlow) {
-  for (std::size_t i = 0; i < kRunners; ++i) answers(i, 5, 1);
+  for (std::size_t i = 0; i < kRunners; ++i) feed_responses(i, 5, 1);
   EXPECT_EQ(marked(verdicts()), 0U);
 }
 
 TEST_F(OutlierDetectionTest, NoRunnerIsAvoidedIfHalfAreSlow) {
-  for (std::size_t i = 0; i < kRunners; ++i) answers(i, i < 5 ? 5 : 0, i < 5 ? 0 : 50);
+  for (std::size_t i = 0; i < kRunners; ++i) feed_responses(i, i < 5 ? 5 : 0, i < 5 ? 0 : 50);
   EXPECT_EQ(marked(verdicts()), 0U);
 }
 
 TEST_F(OutlierDetectionTest, NoRunnerIsAvoidedWithoutComparison) {
-  answers(3, 5, 0);
+  feed_responses(3, 5, 0);
   EXPECT_EQ(marked(verdicts()), 0U);
 }
 
 TEST_F(OutlierDetectionTest, RepeatedPeerReportsCountOnce) {
-  for (std::size_t i = 0; i < kRunners; ++i) answers(i, 0, 10);
+  for (std::size_t i = 0; i < kRunners; ++i) feed_responses(i, 0, 10);
   runners[3] = {};
-  answers(3, 1, 0);
+  feed_responses(3, 1, 0);
   for (int i = 0; i < 5; ++i) runners[3].take_report({.outliers = 1, .normal = 0}, kStart);
   EXPECT_EQ(verdicts()[3], OutlierVerdict::kOnProbation);
   runners[3].take_report({.outliers = 2, .normal = 0}, kStart);
--- a/tests/routing/slow_runner_test.cc
+++ b/tests/routing/slow_runner_test.cc
@@ -21,12 +21,12 @@
     for (int i = 0; i < kRunners; ++i) {
       registry.upsert({name(i), "chat", "10.0.0.1:80", "near", 8, false});
     }
-    for (int round = 0; round < 20; ++round) answers(0, kRunners, 1);
+    for (int round = 0; round < 20; ++round) feed_responses(0, kRunners, 1);
   }
   static std::string name(int runner) { return "r" + std::to_string(runner); }
   Runner& runner(int index) { return *registry.all().at(name(index)); }
   /// Feeds one response of each runner in [from, end) that takes `times` times the usual 50 ms.
-  void answers(int from, int end, double times) {
+  void feed_responses(int from, int end, double times) {
     for (int i = from; i < end; ++i) {
       model.observe_first_event(kRoute, runner(i).speed(),
                                 {.pending_prompt_tokens = 300, .load = 0.2},
@@ -47,7 +47,7 @@
   /// Advances the clock and feeds normal responses of all runners but the first.
   void advance_with_normal_responses() {
     now += std::chrono::seconds(10);
-    for (int round = 0; round < 5; ++round) answers(1, kRunners, 1);
+    for (int round = 0; round < 5; ++round) feed_responses(1, kRunners, 1);
   }
 
   RunnerRegistry registry;
@@ -57,7 +57,7 @@
 
 TEST_F(SlowRunnerTest, SlowRunnerTemporarilyGetsNoOnlineWork) {
   advance_with_normal_responses();
-  for (int i = 0; i < 4; ++i) answers(0, 1, 12);
+  for (int i = 0; i < 4; ++i) feed_responses(0, 1, 12);
   EXPECT_EQ(candidates(), kRunners - 1U);
   EXPECT_EQ(candidates(WorkClass::kBatch), static_cast<std::uint32_t>(kRunners));
   now += std::chrono::seconds(10);
@@ -66,7 +66,7 @@
 
 TEST_F(SlowRunnerTest, RunnerOnProbationGetsOneRequestAtATime) {
   advance_with_normal_responses();
-  for (int i = 0; i < 4; ++i) answers(0, 1, 12);
+  for (int i = 0; i < 4; ++i) feed_responses(0, 1, 12);
   now += std::chrono::seconds(2);
   EXPECT_EQ(candidates(), static_cast<std::uint32_t>(kRunners));
   runner(0).begin_attempt();
@@ -75,26 +75,26 @@
 
 TEST_F(SlowRunnerTest, NormalSlowPhaseIsNotAnOutlier) {
   advance_with_normal_responses();
-  for (int i = 0; i < 4; ++i) answers(0, 1, 2.5);
+  for (int i = 0; i < 4; ++i) feed_responses(0, 1, 2.5);
   EXPECT_EQ(candidates(), static_cast<std::uint32_t>(kRunners));
 }
 
 TEST_F(SlowRunnerTest, NoRunnerIsAvoidedIfAllSlowDown) {
   now += std::chrono::seconds(10);
-  for (int i = 0; i < 4; ++i) answers(0, kRunners, 12);
+  for (int i = 0; i < 4; ++i) feed_responses(0, kRunners, 12);
   EXPECT_EQ(candidates(), static_cast<std::uint32_t>(kRunners));
 }
 
 TEST_F(SlowRunnerTest, NoRunnerIsAvoidedIfHalfSlowDown) {
   now += std::chrono::seconds(10);
-  for (int i = 0; i < 4; ++i) answers(0, kRunners / 2, 12);
-  for (int i = 0; i < 20; ++i) answers(kRunners / 2, kRunners, 1);
+  for (int i = 0; i < 4; ++i) feed_responses(0, kRunners / 2, 12);
+  for (int i = 0; i < 20; ++i) feed_responses(kRunners / 2, kRunners, 1);
   EXPECT_EQ(candidates(), static_cast<std::uint32_t>(kRunners));
 }
 
 TEST_F(SlowRunnerTest, PeerReportsOfOutliersAreApplied) {
   advance_with_normal_responses();
-  for (int i = 0; i < 4; ++i) answers(0, 1, 12);
+  for (int i = 0; i < 4; ++i) feed_responses(0, 1, 12);
   SpeedModel other;
   RunnerSpeed there;
   other.take(there, runner(0).speed().report(1, now), now);
@@ -111,7 +111,7 @@
     model.take_slowness(runner(1).speed(), kMostSlownessPercent, now - milliseconds(i), true);
   }
   advance_with_normal_responses();
-  for (int i = 0; i < 4; ++i) answers(0, 1, 40);
+  for (int i = 0; i < 4; ++i) feed_responses(0, 1, 40);
   EXPECT_EQ(candidates(), kRunners - 1U);
 }
 
--- a/tests/routing/speed_replay.cc
+++ b/tests/routing/speed_replay.cc
@@ -140,8 +140,8 @@
     const double service_seconds = online ? 0.8 : 5.2;
     const double slots = (online ? scenario_.online_slots : scenario_.batch_slots);
     double rate = slots * static_cast<double>(scenario_.nodes) / service_seconds;
-    const double moment = std::fmod(to_seconds(after - start_), kCycleSeconds);
-    if (online) rate *= moment < kLowSeconds ? kLowRate : kHighRate;
+    const double cycle_time = std::fmod(to_seconds(after - start_), kCycleSeconds);
+    if (online) rate *= cycle_time < kLowSeconds ? kLowRate : kHighRate;
     const TimePoint when = after + milliseconds(-std::log(1 - arrivals_.unit()) / rate * 1000);
     if (when - start_ > scenario_.span) return;
     const std::size_t node = arrivals_.below(scenario_.nodes);
