--- a/src/routing/load_messages.h
+++ b/src/routing/load_messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// Datagrams between nodes about their use of runners.
+/// Datagrams by which nodes exchange their use of runners and related state.
 #pragma once
 
 #include <cstdint>
@@ -24,31 +24,33 @@
 struct RunnerUse {
   std::uint64_t runner = 0;  ///< `Runner::hash`.
   std::uint16_t in_flight = 0;
-  std::uint16_t batch_in_flight = 0;  ///< Those that are batch items.
-  std::uint32_t backlog_tokens = 0;   ///< Prompt tokens sent that have not led to an answer.
-  std::uint16_t heard_ms_ago = 0;     ///< Since it last answered anything; saturates.
+  std::uint16_t batch_in_flight = 0;  ///< Batch items among `in_flight`.
+  std::uint32_t backlog_tokens = 0;   ///< Prompt tokens of requests without a response so far.
+  std::uint16_t response_age_ms = 0;  ///< Time since the runner's last response; saturates.
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(runner, in_flight, batch_in_flight, backlog_tokens, heard_ms_ago);
+    archive(runner, in_flight, batch_in_flight, backlog_tokens, response_age_ms);
   }
 };
 
-/// A runner to which the sender gives no work for a while, since its attempts there failed.
+/// A runner that the sender has ejected: it sends no requests there for a time, since its attempts
+/// there failed.
 struct EjectedRunner {
   std::uint64_t runner = 0;         ///< `Runner::hash`.
-  std::uint16_t failed_ms_ago = 0;  ///< Since the last failed attempt; saturates.
-  std::uint16_t pause_left_ms = 0;  ///< Until the sender tries it again.
-  std::uint8_t failures = 0;        ///< Failed attempts in a row; saturates.
-  bool by_errors = false;           ///< The runner answered, with errors of its own.
+  std::uint16_t failed_ms_ago = 0;  ///< Time since the last failed attempt; saturates.
+  std::uint16_t remaining_ms = 0;   ///< Time until the sender tries the runner again.
+  std::uint8_t failures = 0;        ///< Consecutive failed attempts; saturates.
+  bool by_errors = false;           ///< The runner itself responded with errors.
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(runner, failed_ms_ago, pause_left_ms, failures, by_errors);
+    archive(runner, failed_ms_ago, remaining_ms, failures, by_errors);
   }
 };
 
-/// Answers that the sender had lately from a runner of which some were errors, in tenths.
+/// Counts of recent responses of a runner to the sender, in tenths. Reported for runners with some
+/// error responses.
 struct RunnerAnswers {
   std::uint64_t runner = 0;  ///< `Runner::hash`.
   std::uint8_t errors = 0;   ///< Saturates.
@@ -60,9 +62,9 @@
   }
 };
 
-/// Where a node is reached over UDP.
+/// UDP endpoint of a node.
 struct NodeEndpoint {
-  std::uint32_t ip = 0;  ///< IPv4, first byte highest.
+  std::uint32_t ip = 0;  ///< IPv4 address; its first byte is the most significant.
   std::uint16_t port = 0;
 
   template <typename Archive>
@@ -71,16 +73,16 @@
   }
 };
 
-/// Online work that had to make batch work yield, of this zone or of another that borrowed the
-/// slot, is reported as waiting for so long: some digests.
+/// After an online request has preempted a batch item, it is reported as waiting for this time,
+/// which spans several digests. The request may belong to another zone that borrowed the slot.
 inline constexpr Duration kDemandShown = std::chrono::milliseconds(30);
 
-/// Online work that waits at the sender.
+/// Online requests for one service that wait at the sender.
 struct ServiceDemand {
   std::uint64_t service = 0;  ///< Hash of its name.
-  /// Requests that can still be in time and leave slots to nobody.
+  /// Requests that can still be in time and leave free slots to no other node.
   std::uint16_t waiting = 0;
-  /// Requests that can still be in time and leave slots to other nodes' `waiting`.
+  /// Requests that can still be in time and leave free slots to other nodes' `waiting` requests.
   std::uint16_t yielding = 0;
 
   template <typename Archive>
@@ -89,28 +91,28 @@
   }
 };
 
-/// All runners that the sender uses, or those of the receiver's zone.
+/// The sender's use of all runners, or of the runners of the receiver's zone, with related state.
 struct LoadDigest {
-  std::uint64_t sender = 0;    ///< Hash of the node's name and start.
-  std::uint64_t sequence = 0;  ///< Rises with each message of a sender.
+  std::uint64_t sender = 0;    ///< Hash of the node's name and start time.
+  std::uint64_t sequence = 0;  ///< Increases with each message of a sender.
   std::uint64_t zone = 0;      ///< Hash of the sender's zone.
   std::vector<RunnerUse> uses;
-  std::vector<EjectedRunner> ejected;  ///< Told inside the zone only.
-  std::vector<ServiceDemand> demand;   ///< Services for which online work waits.
-  std::string origin;                  ///< Sender's `ip:port` if another node may pass this on.
-  bool pass_on = false;                ///< The receiver passes it on inside its zone.
-  /// Nodes of the sender's zone that it has heard itself just now; listed now and then.
+  std::vector<EjectedRunner> ejected;  ///< Inside the zone only.
+  std::vector<ServiceDemand> demand;   ///< Waiting online requests.
+  std::string origin;                  ///< Sender's `ip:port` if the digest may be forwarded.
+  bool pass_on = false;                ///< The receiver forwards the digest inside its zone.
+  /// Nodes of the sender's zone from which it has received a message recently; sent periodically.
   std::vector<NodeEndpoint> neighbours;
-  std::uint64_t configuration_version = 0;  ///< In force at the sender; 0: none yet.
-  std::vector<TenantUsage> tenants;         ///< What the sender admitted; inside the zone only.
-  std::vector<RunnerAnswers> answers;       ///< Inside the zone only.
-  std::vector<RoutePace> paces;             ///< What the sender has learned; now and then.
-  std::vector<ServiceBacklog> backlogs;     ///< Inside the zone only.
-  std::vector<ShareUse> share_uses;         ///< Inside the zone only.
-  std::vector<SpeedReport> speeds;          ///< Inside the zone only.
-  std::vector<ReturnReport> returns;        ///< Inside the zone only.
-  std::vector<BatchWait> batch_waits;       ///< Inside the zone only.
-  bool leaving = false;  ///< The sender stops as planned, and admits nothing from now on.
+  std::uint64_t configuration_version = 0;  ///< Version in force at the sender; 0: none yet.
+  std::vector<TenantUsage> tenants;      ///< Usage that the sender admitted; inside the zone only.
+  std::vector<RunnerAnswers> answers;    ///< Inside the zone only.
+  std::vector<RoutePace> paces;          ///< Estimates of the sender; sent periodically.
+  std::vector<ServiceBacklog> backlogs;  ///< Inside the zone only.
+  std::vector<ShareUse> share_uses;      ///< Inside the zone only.
+  std::vector<SpeedReport> speeds;       ///< Inside the zone only.
+  std::vector<ReturnReport> returns;     ///< Inside the zone only.
+  std::vector<BatchWait> batch_waits;    ///< Inside the zone only.
+  bool leaving = false;  ///< The sender is shutting down and admits no more requests.
 
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -120,11 +122,11 @@
   }
 };
 
-/// Asks the receiver to end one batch run at a runner of the service in the zone.
+/// Asks the receiver to stop one of its batch items at a runner of the service in the zone.
 struct YieldRequest {
   std::string service;
   std::string zone;
-  std::uint64_t runner = 0;  ///< `Runner::hash`; 0: any of them.
+  std::uint64_t runner = 0;  ///< `Runner::hash`; 0: any runner of the service in the zone.
 
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -132,10 +134,10 @@
   }
 };
 
-/// How loaded a runner is.
+/// Load of a runner.
 struct ZoneRunnerLoad {
   std::uint64_t runner = 0;  ///< `Runner::hash`.
-  std::uint8_t percent = 0;  ///< Requests there per place; saturates.
+  std::uint8_t percent = 0;  ///< Requests per slot, in percent; saturates.
 
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -143,11 +145,11 @@
   }
 };
 
-/// The loads of all runners of the sender's zone, for the nodes of another zone.
+/// Loads of the runners of the sender's zone, sent to a node of another zone.
 struct ZoneLoads {
   std::uint64_t zone = 0;  ///< Hash of the sender's zone.
   std::vector<ZoneRunnerLoad> loads;
-  bool pass_on = false;  ///< The receiver passes it on inside its zone.
+  bool pass_on = false;  ///< The receiver forwards the message inside its zone.
 
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -155,12 +157,13 @@
   }
 };
 
-/// One datagram.
+/// Content of one datagram.
 using PeerLoadMessage = std::variant<LoadDigest, YieldRequest, ZoneLoads, ZoneTenantUsage,
                                      EndReports, SlotLoanRequest, SlotLoan, SlotLoanReturn>;
 
 std::string encode_message(const PeerLoadMessage& message);
-/// Returns false if the bytes are malformed.
+/// Decodes a datagram.
+/// @return false if the bytes are malformed.
 bool decode_message(const std::string& bytes, PeerLoadMessage& message);
 
 }  // namespace stoathold
--- a/src/routing/neighbour_table.cc
+++ b/src/routing/neighbour_table.cc
@@ -5,23 +5,24 @@
 namespace stoathold {
 namespace {
 
-/// Nodes of a zone that report its loads to other zones: the loss of one leaves the other.
+/// Number of nodes of a zone that report its loads to other zones. With two, the loss of one is
+/// tolerated.
 constexpr std::ptrdiff_t kZoneReporters = 2;
-/// Most nodes listed in one message.
+/// Maximum number of nodes listed in one message.
 constexpr std::size_t kMaxNeighboursReported = 64;
-/// A node that was heard within this time is listed in messages. Nodes send something at least once
-/// a second.
-constexpr Duration kHeardLately = std::chrono::milliseconds(2500);
-/// A node that is not listed and of which nothing was heard for this time is forgotten.
-constexpr Duration kLifetime = std::chrono::seconds(5);
+/// A node that has sent a message within this time is considered live and is listed in messages.
+/// Nodes send a message at least once a second.
+constexpr Duration kLivenessTimeout = std::chrono::milliseconds(2500);
+/// A node that is not listed and has not been mentioned for this time is removed.
+constexpr Duration kNeighbourLifetime = std::chrono::seconds(5);
 
 }  // namespace
 
-bool NeighbourTable::Neighbour::heard_lately(TimePoint now) const {
-  return heard != TimePoint{} && now - heard <= kHeardLately;
+bool NeighbourTable::Neighbour::is_live(TimePoint now) const {
+  return last_message != TimePoint{} && now - last_message <= kLivenessTimeout;
 }
 
-NeighbourTable::Neighbour& NeighbourTable::entry(const Endpoint& endpoint) {
+NeighbourTable::Neighbour& NeighbourTable::find_or_add(const Endpoint& endpoint) {
   const auto found =
       std::find_if(neighbours_.begin(), neighbours_.end(),
                    [&](const Neighbour& neighbour) { return neighbour.endpoint == endpoint; });
@@ -32,42 +33,42 @@
 
 void NeighbourTable::set_listed(const std::vector<Endpoint>& listed) {
   for (auto& neighbour : neighbours_) neighbour.listed = false;
-  for (const auto& endpoint : listed) entry(endpoint).listed = true;
+  for (const auto& endpoint : listed) find_or_add(endpoint).listed = true;
 }
 
 void NeighbourTable::heard(const Endpoint& endpoint, TimePoint now) {
-  Neighbour& neighbour = entry(endpoint);
-  neighbour.heard = now;
-  neighbour.mentioned = now;
+  Neighbour& neighbour = find_or_add(endpoint);
+  neighbour.last_message = now;
+  neighbour.last_mentioned = now;
 }
 
-void NeighbourTable::learn(const std::vector<NodeEndpoint>& neighbours, const Endpoint& self,
-                           TimePoint now) {
+void NeighbourTable::add_reported(const std::vector<NodeEndpoint>& neighbours, const Endpoint& self,
+                                  TimePoint now) {
   for (const auto& reported : neighbours) {
     const Endpoint endpoint(boost::asio::ip::address_v4(reported.ip), reported.port);
-    if (endpoint != self) entry(endpoint).mentioned = now;
+    if (endpoint != self) find_or_add(endpoint).last_mentioned = now;
   }
 }
 
 void NeighbourTable::expire(TimePoint now) {
   std::erase_if(neighbours_, [now](const Neighbour& neighbour) {
-    return !neighbour.listed && now - neighbour.mentioned > kLifetime;
+    return !neighbour.listed && now - neighbour.last_mentioned > kNeighbourLifetime;
   });
 }
 
 bool NeighbourTable::is_zone_reporter(const Endpoint& self, TimePoint now) const {
-  const auto before =
+  const auto lower_addresses =
       std::count_if(neighbours_.begin(), neighbours_.end(), [&](const Neighbour& neighbour) {
-        return neighbour.heard_lately(now) && neighbour.endpoint < self;
+        return neighbour.is_live(now) && neighbour.endpoint < self;
       });
-  return before < kZoneReporters;
+  return lower_addresses < kZoneReporters;
 }
 
 std::vector<NeighbourTable::Endpoint> NeighbourTable::zone_reporters(const Endpoint& self,
                                                                      TimePoint now) const {
   std::vector<Endpoint> live{self};
   for (const auto& neighbour : neighbours_) {
-    if (neighbour.heard_lately(now)) live.push_back(neighbour.endpoint);
+    if (neighbour.is_live(now)) live.push_back(neighbour.endpoint);
   }
   std::sort(live.begin(), live.end());
   live.resize(std::min<std::size_t>(live.size(), kZoneReporters));
@@ -77,7 +78,7 @@
 std::vector<NodeEndpoint> NeighbourTable::heard_lately(TimePoint now) const {
   std::vector<NodeEndpoint> reported;
   for (const auto& neighbour : neighbours_) {
-    if (!neighbour.heard_lately(now) || !neighbour.endpoint.address().is_v4()) continue;
+    if (!neighbour.is_live(now) || !neighbour.endpoint.address().is_v4()) continue;
     reported.push_back({neighbour.endpoint.address().to_v4().to_uint(), neighbour.endpoint.port()});
     if (reported.size() >= kMaxNeighboursReported) break;
   }
--- a/src/routing/neighbour_table.h
+++ b/src/routing/neighbour_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// The nodes of the own zone: those that the group lists, and those learned from one another.
+/// The nodes of this node's zone: members listed by the group and nodes discovered by messages.
 #pragma once
 
 #include <boost/asio/ip/udp.hpp>
@@ -16,31 +16,33 @@
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-/// The group lists only members that hold a slot; in a zone with more nodes than slots most are not
-/// listed. So each node also learns the nodes that it hears, and those that its neighbours say they
-/// hear. Who is neither listed nor heard of any more is forgotten. Used on one thread.
+/// Table of the other nodes of the zone. The group lists only members that hold a slot of the
+/// group; in a zone with more nodes than slots most nodes are not listed. So each node also adds
+/// the nodes from which it receives messages, and those from which its neighbours report to receive
+/// messages. A node that is neither listed nor mentioned any more is removed. Not thread-safe.
 class NeighbourTable {
  public:
   using Endpoint = boost::asio::ip::udp::endpoint;
 
-  /// The group lists just these nodes of the zone.
+  /// Replaces the set of nodes of the zone that the group lists.
   void set_listed(const std::vector<Endpoint>& listed);
-  /// A message came from this node.
+  /// Records that a message was received from a node.
   void heard(const Endpoint& endpoint, TimePoint now);
-  /// Another node says that it hears these.
-  /// @param self own address, which is left out.
-  void learn(const std::vector<NodeEndpoint>& neighbours, const Endpoint& self, TimePoint now);
-  /// Forgets who is neither listed nor heard of.
+  /// Adds nodes that another node reports as live.
+  /// @param self address of this node, which is skipped.
+  void add_reported(const std::vector<NodeEndpoint>& neighbours, const Endpoint& self,
+                    TimePoint now);
+  /// Removes nodes that are neither listed nor recently mentioned.
   void expire(TimePoint now);
 
-  /// Returns the nodes that this one has heard itself lately, to list them in messages.
+  /// Returns the nodes from which this node has recently received a message, for its own messages.
   [[nodiscard]] std::vector<NodeEndpoint> heard_lately(TimePoint now) const;
-  /// Whether this node reports the zone's loads to other zones: the few with the lowest addresses
-  /// do. Nodes that know different neighbours may disagree for a while; then more or fewer report.
+  /// Whether this node reports the zone's loads to other zones, which the few live nodes with the
+  /// lowest addresses do. While nodes know different neighbours, more or fewer nodes may report.
   [[nodiscard]] bool is_zone_reporter(const Endpoint& self, TimePoint now) const;
-  /// Returns the nodes that report the zone's loads, in the order of their addresses.
+  /// Returns the nodes that report the zone's loads, ordered by address.
   [[nodiscard]] std::vector<Endpoint> zone_reporters(const Endpoint& self, TimePoint now) const;
-  /// Calls `visit` with the endpoint of each.
+  /// Calls `visit` with the endpoint of each node.
   template <typename Visitor>
   void for_each(const Visitor& visit) const {
     for (const auto& neighbour : neighbours_) visit(neighbour.endpoint);
@@ -52,14 +54,16 @@
   struct Neighbour {
     Endpoint endpoint;
     bool listed = false;
-    TimePoint heard{};      ///< When a message came from it; the start of the clock: never.
-    TimePoint mentioned{};  ///< When anything was last heard from it or of it.
+    TimePoint
+        last_message{};  ///< When a message was last received from it; the clock's epoch: never.
+    TimePoint
+        last_mentioned{};  ///< When it last sent a message or was last reported by another node.
 
-    /// Whether a message came from it so lately that it is taken to live.
-    [[nodiscard]] bool heard_lately(TimePoint now) const;
+    /// Whether a message was received from it recently enough to consider it live.
+    [[nodiscard]] bool is_live(TimePoint now) const;
   };
 
-  Neighbour& entry(const Endpoint& endpoint);
+  Neighbour& find_or_add(const Endpoint& endpoint);
 
   std::vector<Neighbour> neighbours_;
 };
--- a/src/routing/peer_loads.h
+++ b/src/routing/peer_loads.h
@@ -1,12 +1,12 @@
 /// @file
-/// What nodes report to one another about their use of runners.
+/// Exchange of load information between nodes: each node's use of runners, and related state.
 ///
-/// Runners know all of their load but report it only in answers, which come seldom at any one node.
-/// So each node sends its own use to the others of its zone whenever it changes. Of the use of
-/// another zone's runners it seldom reports to one node there, which passes that on inside its
-/// zone, so that few bytes cross between zones. A lost message costs nothing: the next one holds
-/// everything again. A node whose online work finds no place asks the node that runs the most batch
-/// items in its zone to give one back.
+/// Runners know their whole load but report it only in responses, which any one node receives too
+/// rarely. So each node sends its own use to the other nodes of its zone whenever it changes. Its
+/// use of another zone's runners is reported less often, and only to one node there, which forwards
+/// the report inside its zone; this limits the traffic between zones. Lost messages are tolerated:
+/// the next one contains the whole state. A node whose online requests find no free slot asks the
+/// node that runs the most batch items in its zone to release one.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -30,122 +30,129 @@
 
 namespace stoathold {
 
-/// Where another node is reached, and which runners it uses first.
+/// Address and zone of another node. A node prefers the runners of its own zone.
 struct PeerAddress {
   std::string address;  ///< `ip:port`.
   std::string zone;
 };
 
-/// What another module adds to digests inside the zone, and takes from them.
+/// Part of the digests inside the zone that another module contributes and processes.
 struct DigestPart {
-  /// Adds to a digest that is about to be sent.
-  /// @param thorough whether it may be long: now and then one repairs what was lost.
-  std::function<void(LoadDigest& digest, bool thorough, TimePoint now)> add;
-  /// Takes from a digest of another node of the zone.
+  /// Adds data to a digest that is about to be sent.
+  /// @param full_report whether the digest may be long; a full report is sent periodically to
+  ///   compensate for lost messages.
+  std::function<void(LoadDigest& digest, bool full_report, TimePoint now)> add;
+  /// Processes a digest received from another node of the zone.
   std::function<void(const LoadDigest& digest, TimePoint now)> take;
 };
 
-/// Sends and receives messages over UDP, and keeps the registry's peer use and demand up to date.
-/// One thread.
+/// Sends and receives load messages over UDP and keeps the peers' use and demand in the registry up
+/// to date. Not thread-safe.
 class PeerLoads {
  public:
-  /// Binds at once; throws `boost::system::system_error` if that fails.
+  /// Binds the socket; throws `boost::system::system_error` on failure.
   PeerLoads(boost::asio::any_io_executor executor, RunnerRegistry& registry,
             const std::string& listen, std::string zone, std::uint64_t sender);
 
   void start();
-  /// The other nodes, of all zones.
+  /// Sets the other nodes, of all zones.
   void set_peers(const std::vector<PeerAddress>& peers);
-  /// Called for the online work that waits here.
+  /// Returns the online requests that wait at this node.
   using DemandSource = std::function<std::vector<ServiceDemand>()>;
   void set_demand_source(DemandSource source) { demand_source_ = std::move(source); }
-  /// Called when another node's use or demand has changed.
-  void set_change_listener(std::function<void()> listener) { listener_ = std::move(listener); }
-  /// Called when another node asks for a place.
+  /// Sets the function to call when another node's use or demand has changed.
+  void set_change_listener(std::function<void()> listener) {
+    change_listener_ = std::move(listener);
+  }
+  /// Called when another node requests that a batch item release its slot.
   using YieldHandler = std::function<void(const YieldRequest&)>;
   void set_yield_handler(YieldHandler handler) { yield_handler_ = std::move(handler); }
-  /// Has the messages carry what nodes admitted for tenants. The limits outlive this object.
+  /// Includes the usage that nodes admitted for tenants in the messages. The limits must outlive
+  /// this object.
   void share_tenant_usage(TenantLimits& limits) {
     tenant_gossip_.emplace(limits, sender_, stable_hash(zone_));
   }
-  /// Tells other nodes of runners that ended under requests. The quarantine outlives this object.
+  /// Reports runners that terminated while serving requests to other nodes. The quarantine must
+  /// outlive this object.
   void share_runner_ends(Quarantine& quarantine);
-  /// Called for the version of the configuration that is in force here, when a digest is made.
+  /// Sets the function that returns the configuration version in force at this node, called for
+  /// each digest.
   void set_version_source(std::function<std::uint64_t()> source) {
     version_source_ = std::move(source);
   }
-  /// Called when a node of the zone says which version is in force there.
+  /// Called when a node of the zone reports the configuration version in force there.
   /// @param address `ip:port` of that node.
   using VersionListener = std::function<void(const std::string& address, std::uint64_t version)>;
   void set_version_listener(VersionListener listener) { version_listener_ = std::move(listener); }
-  /// Called for what this node has learned about routes' answers, and with what others have.
+  /// Shares estimates of routes' response times: `source` returns those of this node, `listener`
+  /// receives those of other nodes.
   using PaceSource = std::function<std::vector<RoutePace>()>;
   using PaceListener = std::function<void(const RoutePace&)>;
   void share_paces(PaceSource source, PaceListener listener) {
     pace_source_ = std::move(source);
     pace_listener_ = std::move(listener);
   }
-  /// Has the digests inside the zone carry what another module reports.
+  /// Adds a part to the digests inside the zone.
   void add_digest_part(DigestPart part) { digest_parts_.push_back(std::move(part)); }
-  /// Carries the messages by which zones lend slots. The exchange outlives this object.
-  /// @param waiting online work that waits here, in the order in which it is placed.
+  /// Transports the slot loan messages of an exchange, which must outlive this object.
+  /// @param waiting returns the online requests that wait at this node, in placement order.
   void share_slots(SlotExchange& exchange,
                    std::function<std::vector<WaitingWork>(TimePoint now)> waiting);
-  /// Asks the node that runs the most batch items at the runners that the request names for a
-  /// place.
-  /// @return false if none is known to run any.
+  /// Sends the request to the node that runs the most batch items at the runners it selects.
+  /// @return false if no node is known to run batch items there.
   bool ask_for_place(const YieldRequest& request);
-  /// This node stops as planned and admits nothing any more: its shares of the tenants' limits are
-  /// the others' from now on. Does so once, however often it is called.
+  /// Announces that this node shuts down and admits no more requests; the other nodes take over its
+  /// shares of the tenants' limits. Further calls have no effect.
   void leave();
-  /// This node's use of a runner has changed.
+  /// Schedules a digest after this node's use of a runner has changed.
   void use_changed();
-  /// The address bound, with the port that was taken.
+  /// Returns the bound address with the actual port.
   [[nodiscard]] std::string address() const;
   [[nodiscard]] std::size_t peer_count() const { return zone_nodes_.size(); }
-  /// Returns the addresses (`ip:port`) of the zone's nodes that were heard just now.
+  /// Returns the addresses (`ip:port`) of the zone's nodes that have sent a message recently.
   [[nodiscard]] std::vector<std::string> live_neighbours() const;
 
  private:
   using Endpoint = boost::asio::ip::udp::endpoint;
 
   void receive();
-  void take(const std::string& bytes);
-  void take_digest(LoadDigest digest);
-  void take_tenants(const LoadDigest& digest, TimePoint now);
-  void take_ejections(const LoadDigest& digest, TimePoint now);
-  void take_zone_loads(ZoneLoads loads);
-  void take_slot_message(const PeerLoadMessage& message);
-  /// Sends a message of another zone to the nodes of this one.
+  void handle_datagram(const std::string& bytes);
+  void handle_digest(LoadDigest digest);
+  void apply_tenant_reports(const LoadDigest& digest, TimePoint now);
+  void apply_ejections(const LoadDigest& digest, TimePoint now);
+  void handle_zone_loads(ZoneLoads loads);
+  void handle_slot_message(const PeerLoadMessage& message);
+  /// Forwards a message of another zone to the nodes of this zone.
   template <typename Message>
-  void pass_on(Message message) {
+  void forward_in_zone(Message message) {
     message.pass_on = false;
     send_to_zone(encode_message(message));
   }
-  /// Sends to all nodes of this zone.
+  /// Sends a message to all nodes of this zone.
   void send_to_zone(const std::string& bytes);
-  /// Sends to one node of each other zone.
-  /// @param turn picks the node: another one for the next turn.
-  void send_to_other_zones(const std::string& bytes, std::size_t turn);
-  void take_end_reports(EndReports reports);
+  /// Sends a message to one node of each other zone.
+  /// @param rotation selects the node; consecutive values select different nodes.
+  void send_to_other_zones(const std::string& bytes, std::size_t rotation);
+  void handle_end_reports(EndReports reports);
   void schedule_end_reports();
   void send_end_reports();
   void send_remote_end_reports();
   void schedule_send();
-  void schedule_slots();
+  void schedule_slot_tick();
   [[nodiscard]] std::vector<LendingNode> lending_nodes() const;
-  [[nodiscard]] std::uint32_t use_to_report(const Runner& runner, bool own_zone,
-                                            TimePoint now) const;
+  [[nodiscard]] std::uint32_t reported_in_flight(const Runner& runner, bool own_zone,
+                                                 TimePoint now) const;
   void send();
   void report_remote_use();
   void send_zone_loads();
   void send_to(const Endpoint& peer, const std::string& bytes);
-  void schedule_expiry();
+  void schedule_maintenance();
   void schedule_tenant_reports();
   void send_tenant_usage();
-  /// Shortest time between two digests: longer the more nodes receive them.
+  /// Returns the minimum interval between two digests, which grows with the number of receivers.
   [[nodiscard]] Duration send_interval() const;
-  /// @param zone only runners of this zone; empty: all.
+  /// Creates a digest of this node's use of runners.
+  /// @param zone includes only runners of this zone; empty: all runners.
   [[nodiscard]] LoadDigest make_digest(const std::string& zone);
   [[nodiscard]] std::vector<ServiceDemand> own_demand() const;
   [[nodiscard]] std::vector<EjectedRunner> make_ejections(TimePoint now) const;
@@ -159,34 +166,35 @@
   boost::asio::ip::udp::socket socket_;
   NeighbourTable zone_nodes_;                                  ///< Nodes of this zone.
   std::map<std::string, std::vector<Endpoint>> remote_zones_;  ///< Nodes of other zones, by zone.
-  std::set<std::string> reported_zones_;                       ///< Zones that know of use there.
-  std::size_t remote_turn_ = 0;  ///< Picks the node of a zone that gets the report.
+  std::set<std::string> reported_zones_;  ///< Zones to which use was last reported.
+  std::size_t remote_rotation_ = 0;       ///< Selects the node of each zone that receives reports.
   DemandSource demand_source_;
-  std::function<void()> listener_;
+  std::function<void()> change_listener_;
   YieldHandler yield_handler_;
   PeerUseTable peer_uses_;
   std::optional<TenantGossip> tenant_gossip_;
-  Quarantine* quarantine_ = nullptr;  ///< Null: ends are not reported.
+  Quarantine* quarantine_ = nullptr;  ///< Null: terminations are not reported.
   std::function<std::uint64_t()> version_source_;
   VersionListener version_listener_;
   PaceSource pace_source_;
   PaceListener pace_listener_;
   std::vector<DigestPart> digest_parts_;
-  SlotExchange* slots_ = nullptr;  ///< Null: zones lend one another nothing.
+  SlotExchange* slot_exchange_ = nullptr;  ///< Null: zones lend no slots.
   std::string buffer_;
-  Endpoint from_;
+  Endpoint sender_endpoint_;
   Timer send_timer_;
-  Timer expiry_timer_;
+  Timer maintenance_timer_;
   Timer tenant_timer_;
-  Timer ends_timer_;
-  Timer slots_timer_;
-  bool slots_scheduled_ = false;
-  bool ends_scheduled_ = false;
-  std::size_t tenant_turn_ = 0;  ///< Picks the node of a zone that gets the zone's report.
+  Timer end_reports_timer_;
+  Timer slot_tick_timer_;
+  bool slot_tick_scheduled_ = false;
+  bool end_reports_scheduled_ = false;
+  std::size_t tenant_rotation_ =
+      0;  ///< Selects the node of each zone that receives tenant reports.
   TimePoint last_sent_{};
-  TimePoint neighbours_reported_{};
+  TimePoint last_full_report_{};
   bool send_scheduled_ = false;
-  bool in_use_ = false;
+  bool uses_runners_ = false;
   bool leaving_ = false;
 };
 
--- a/src/routing/peer_loads_slots.cc
+++ b/src/routing/peer_loads_slots.cc
@@ -18,7 +18,7 @@
 
 void PeerLoads::share_slots(SlotExchange& exchange,
                             std::function<std::vector<WaitingWork>(TimePoint now)> waiting) {
-  slots_ = &exchange;
+  slot_exchange_ = &exchange;
   SlotExchangeCallbacks callbacks;
   callbacks.address = address();
   callbacks.send_to_zone = [this](const std::string& zone, const PeerLoadMessage& message) {
@@ -36,7 +36,7 @@
   callbacks.lending_nodes = [this] { return lending_nodes(); };
   callbacks.on_lent_changed = [this] { use_changed(); };
   callbacks.on_borrowed = [this] {
-    if (listener_) listener_();
+    if (change_listener_) change_listener_();
   };
   callbacks.yield = [this](const Runner& runner) {
     const YieldRequest request{runner.record().service, zone_, runner.hash()};
@@ -59,29 +59,29 @@
 
 /// Inside its own zone a node reports the slots that it lends as in use. To the zone of a remote
 /// runner it reports only what exceeds its loan, since the lenders there report the loan itself.
-std::uint32_t PeerLoads::use_to_report(const Runner& runner, bool own_zone,
+std::uint32_t PeerLoads::reported_in_flight(const Runner& runner, bool own_zone,
                                             TimePoint now) const {
   return own_zone ? runner.in_flight() + runner.lent() : runner.in_flight_beyond_loan(now);
 }
 
-void PeerLoads::take_slot_message(const PeerLoadMessage& message) {
+void PeerLoads::handle_slot_message(const PeerLoadMessage& message) {
   const TimePoint now = monotonic_now();
   if (const auto* request = std::get_if<SlotLoanRequest>(&message)) {
-    slots_->handle(*request, now);
+    slot_exchange_->handle(*request, now);
   } else if (const auto* loan = std::get_if<SlotLoan>(&message)) {
-    slots_->handle(*loan, now);
+    slot_exchange_->handle(*loan, now);
   } else if (const auto* returned = std::get_if<SlotLoanReturn>(&message)) {
-    slots_->handle(*returned, now);
+    slot_exchange_->handle(*returned, now);
   }
 }
 
-void PeerLoads::schedule_slots() {
-  if (slots_scheduled_) return;
-  slots_scheduled_ = true;
-  slots_timer_.expires_after(kSlotTickInterval);
-  slots_timer_.async_wait([this](boost::system::error_code error) {
-    slots_scheduled_ = false;
-    if (!error && slots_->tick(monotonic_now())) schedule_slots();
+void PeerLoads::schedule_slot_tick() {
+  if (slot_tick_scheduled_) return;
+  slot_tick_scheduled_ = true;
+  slot_tick_timer_.expires_after(kSlotTickInterval);
+  slot_tick_timer_.async_wait([this](boost::system::error_code error) {
+    slot_tick_scheduled_ = false;
+    if (!error && slot_exchange_->tick(monotonic_now())) schedule_slot_tick();
   });
 }
 
--- a/src/routing/peer_loads_zones.cc
+++ b/src/routing/peer_loads_zones.cc
@@ -1,4 +1,4 @@
-// What nodes report to those of other zones, and to one another of runners that ended.
+// Reports to nodes of other zones, and reports of terminated runners.
 #include <algorithm>
 #include <boost/asio/ip/address.hpp>
 #include <utility>
@@ -9,12 +9,13 @@
 namespace stoathold {
 namespace {
 
-/// Runners of a zone that one message reports on.
+/// Maximum number of runners in one message about a zone's loads.
 constexpr std::size_t kMaxZoneLoads = 150;
 constexpr double kPercent = 100;
-constexpr double kMostPercent = 255;
-/// Ends within this time are reported together: those of one runner come one after the other.
-constexpr Duration kEndsCoalesce = std::chrono::milliseconds(5);
+constexpr double kMaxPercent = 255;
+/// Terminations within this time are reported together: the requests that a terminated runner was
+/// serving fail one after the other.
+constexpr Duration kEndReportCoalescingDelay = std::chrono::milliseconds(5);
 
 }  // namespace
 
@@ -22,29 +23,30 @@
   zone_nodes_.for_each([&](const Endpoint& peer) { send_to(peer, bytes); });
 }
 
-void PeerLoads::send_to_other_zones(const std::string& bytes, std::size_t turn) {
-  for (const auto& [zone, peers] : remote_zones_) send_to(peers[turn % peers.size()], bytes);
+void PeerLoads::send_to_other_zones(const std::string& bytes, std::size_t rotation) {
+  for (const auto& [zone, peers] : remote_zones_) send_to(peers[rotation % peers.size()], bytes);
 }
 
-/// Loads of another zone's runners, reported by a node there.
-void PeerLoads::take_zone_loads(ZoneLoads loads) {
+/// Applies the loads of another zone's runners, as reported by a node there.
+void PeerLoads::handle_zone_loads(ZoneLoads loads) {
   if (loads.zone == stable_hash(zone_)) return;
   const TimePoint now = monotonic_now();
   for (const auto& reported : loads.loads) {
     Runner* runner = registry_.find_hash(reported.runner);
     if (runner != nullptr) runner->take_zone_load(reported.percent / kPercent, now);
   }
-  if (loads.pass_on) pass_on(std::move(loads));
-  if (listener_) listener_();
+  if (loads.pass_on) forward_in_zone(std::move(loads));
+  if (change_listener_) change_listener_();
 }
 
-/// Reports to a node of each zone whose runners this node uses, and once the end of that. Each time
-/// another node, so that one that is gone costs one message.
+/// Reports this node's use to one node of each zone whose runners it uses, and one final time after
+/// the use has ended. The receiver changes with each report, so that a node that is down costs only
+/// one message.
 void PeerLoads::report_remote_use() {
   const TimePoint now = monotonic_now();
   std::set<std::string> used;
   for (const auto& [id, runner] : registry_.all()) {
-    if (use_to_report(*runner, false, now) > 0) used.insert(runner->record().zone);
+    if (reported_in_flight(*runner, false, now) > 0) used.insert(runner->record().zone);
   }
   for (const auto& [zone, peers] : remote_zones_) {
     const bool uses = used.contains(zone);
@@ -52,14 +54,14 @@
     LoadDigest digest = make_digest(zone);
     digest.origin = address();
     digest.pass_on = true;
-    send_to(peers[remote_turn_ % peers.size()], encode_message(digest));
+    send_to(peers[remote_rotation_ % peers.size()], encode_message(digest));
   }
-  ++remote_turn_;
+  ++remote_rotation_;
   reported_zones_ = std::move(used);
 }
 
-/// Other zones send work here when theirs is full: what they know of the runners here keeps them
-/// from filling these as well.
+/// Reports the loads of this zone's runners to the other zones. They send requests here when their
+/// own runners are full, and the reports keep them from overloading the runners here as well.
 void PeerLoads::send_zone_loads() {
   const TimePoint now = monotonic_now();
   if (remote_zones_.empty() || !zone_nodes_.is_zone_reporter(socket_.local_endpoint(), now)) return;
@@ -69,26 +71,26 @@
   for (const auto& [id, runner] : registry_.all()) {
     if (runner->record().zone != zone_ || !runner->available()) continue;
     const bool usable = !runner->ejected(now);
-    const double percent = usable ? runner->load(now) * kPercent : kMostPercent;
+    const double percent = usable ? runner->load(now) * kPercent : kMaxPercent;
     message.loads.push_back(
-        {runner->hash(), static_cast<std::uint8_t>(std::min(percent, kMostPercent))});
+        {runner->hash(), static_cast<std::uint8_t>(std::min(percent, kMaxPercent))});
     if (message.loads.size() >= kMaxZoneLoads) break;
   }
   const std::string bytes = encode_message(message);
-  send_to_other_zones(bytes, remote_turn_);
+  send_to_other_zones(bytes, remote_rotation_);
 }
 
-/// Reports to the other zones what this zone's nodes admitted for tenants. Two nodes of a zone do,
-/// to different nodes, so that one lost message or one lost node costs nothing.
+/// Reports to the other zones what this zone's nodes admitted for tenants. Two nodes of a zone
+/// report to different receivers, so that the loss of one message or one node has no effect.
 void PeerLoads::send_tenant_usage() {
   const TimePoint now = monotonic_now();
   if (remote_zones_.empty() || !zone_nodes_.is_zone_reporter(socket_.local_endpoint(), now)) return;
   const std::string bytes = encode_message(tenant_gossip_->make_zone_report(now));
-  send_to_other_zones(bytes, tenant_turn_);
-  tenant_turn_ += 1 + sender_ % 2;
+  send_to_other_zones(bytes, tenant_rotation_);
+  tenant_rotation_ += 1 + sender_ % 2;
 }
 
-void PeerLoads::take_tenants(const LoadDigest& digest, TimePoint now) {
+void PeerLoads::apply_tenant_reports(const LoadDigest& digest, TimePoint now) {
   if (!tenant_gossip_) return;
   if (!digest.leaving) {
     tenant_gossip_->take_report(digest.sender, digest.tenants, now);
@@ -98,7 +100,7 @@
 }
 
 void PeerLoads::leave() {
-  /// One may be lost; should all be, the others take this node for silent.
+  /// Compensates for lost messages. If all are lost, the other nodes consider this node silent.
   constexpr int kRepeats = 3;
   if (std::exchange(leaving_, true)) return;
   if (tenant_gossip_) tenant_gossip_->leave();
@@ -106,7 +108,7 @@
     send();
     if (!tenant_gossip_ || !tenant_gossip_->needed()) continue;
     const std::string bytes = encode_message(tenant_gossip_->make_zone_report(monotonic_now()));
-    send_to_other_zones(bytes, tenant_turn_++);
+    send_to_other_zones(bytes, tenant_rotation_++);
   }
 }
 
@@ -115,18 +117,18 @@
   quarantine.set_report_listener([this] { schedule_end_reports(); });
 }
 
-void PeerLoads::take_end_reports(EndReports reports) {
+void PeerLoads::handle_end_reports(EndReports reports) {
   if (quarantine_ == nullptr) return;
   quarantine_->take_reports(reports.reports, monotonic_now());
-  if (reports.pass_on) pass_on(std::move(reports));
+  if (reports.pass_on) forward_in_zone(std::move(reports));
 }
 
 void PeerLoads::schedule_end_reports() {
-  if (ends_scheduled_) return;
-  ends_scheduled_ = true;
-  ends_timer_.expires_after(kEndsCoalesce);
-  ends_timer_.async_wait([this](boost::system::error_code error) {
-    ends_scheduled_ = false;
+  if (end_reports_scheduled_) return;
+  end_reports_scheduled_ = true;
+  end_reports_timer_.expires_after(kEndReportCoalescingDelay);
+  end_reports_timer_.async_wait([this](boost::system::error_code error) {
+    end_reports_scheduled_ = false;
     if (error) return;
     send_end_reports();
     send_remote_end_reports();
@@ -141,16 +143,17 @@
   send_to_zone(bytes);
 }
 
-/// Sent again by the timer of the other reports, since messages get lost; to another node of each
-/// zone, so that one that is gone or one lost message costs nothing.
+/// Sends the reports for other zones. They are repeated by the timer of the other reports, since
+/// messages get lost, each time to another node of a zone, so that the loss of one message or one
+/// node has no effect.
 void PeerLoads::send_remote_end_reports() {
   if (quarantine_ == nullptr || remote_zones_.empty()) return;
   const EndReports message{.reports = quarantine_->take_remote_reports(monotonic_now()),
                            .pass_on = true};
   if (message.reports.empty()) return;
   const std::string bytes = encode_message(message);
-  send_to_other_zones(bytes, remote_turn_);
-  ++remote_turn_;
+  send_to_other_zones(bytes, remote_rotation_);
+  ++remote_rotation_;
 }
 
 }  // namespace stoathold
--- a/src/routing/peer_use_table.cc
+++ b/src/routing/peer_use_table.cc
@@ -10,19 +10,21 @@
 namespace stoathold {
 namespace {
 
-/// Online work that waits is reported again and again; an older report counts no more.
+/// Time for which a report of waiting online requests is valid. Reports are repeated while requests
+/// wait.
 constexpr Duration kDemandLifetime = std::chrono::milliseconds(250);
-/// A node that waits says so again every 20 ms at least; it is a contender for so long.
+/// Time for which a reported node counts as a contender for free slots. A node with waiting
+/// requests repeats its report at least every 20 ms.
 constexpr Duration kContenderLifetime = std::chrono::milliseconds(60);
-/// What a silent node said counts no longer after this time.
-constexpr Duration kLifetime = std::chrono::milliseconds(1500);
+/// A digest expires after this time unless its sender replaces it.
+constexpr Duration kDigestLifetime = std::chrono::milliseconds(1500);
 
 }  // namespace
 
 PeerUseTable::PeerUseTable(RunnerRegistry& registry, std::string zone, std::uint64_t self)
     : registry_(registry), zone_(std::move(zone)), zone_hash_(stable_hash(zone_)), self_(self) {}
 
-bool PeerUseTable::is_news(const LoadDigest& digest) const {
+bool PeerUseTable::is_newer(const LoadDigest& digest) const {
   const auto found = states_.find(digest.sender);
   return found == states_.end() || digest.sequence > found->second.sequence;
 }
@@ -33,26 +35,26 @@
   PeerState& state = states_[sender];
   PeerState next{digest.sequence,         digest.zone, now, endpoint, std::move(digest.uses),
                  std::move(digest.demand)};
-  const bool all_known = counted_revision_ == registry_.revision();
-  const bool less = uses_less(state, next);
-  if (less && next.zone == zone_hash_) {
+  const bool sums_current = counted_revision_ == registry_.revision();
+  const bool use_reduced = has_reduced_use(state, next);
+  if (use_reduced && next.zone == zone_hash_) {
     arbitrate_free_slots(sender, state, next, own_demand, now);
   }
   const bool demand = !state.demand.empty() || !next.demand.empty();
-  if (all_known) count(state, Direction::kRemove);
+  if (sums_current) add_to_sums(state, Direction::kRemove);
   state = std::move(next);
-  if (all_known) {
-    count(state, Direction::kAdd);
+  if (sums_current) {
+    add_to_sums(state, Direction::kAdd);
   } else {
-    count_all_anew();
+    recount_all();
   }
-  note_heard(state, now);
+  record_responses(state, now);
   if (demand) publish_demand(now);
-  return less || demand;
+  return use_reduced || demand;
 }
 
-/// Whether some runner has fewer requests of this node than before.
-bool PeerUseTable::uses_less(const PeerState& before, const PeerState& after) const {
+/// Whether the node has fewer requests at any runner than before.
+bool PeerUseTable::has_reduced_use(const PeerState& before, const PeerState& after) const {
   return std::any_of(before.uses.begin(), before.uses.end(), [&](const RunnerUse& old_use) {
     const auto same = std::find_if(after.uses.begin(), after.uses.end(), [&](const RunnerUse& use) {
       return use.runner == old_use.runner;
@@ -81,8 +83,8 @@
   return contenders.empty() ? yielding : contenders;
 }
 
-/// The sender has given slots back. Of the nodes that wait, this one may not be the first to take
-/// them.
+/// Arbitrates the slots that the sender has released: reserves each of them for some time for the
+/// nodes with waiting requests that rank before this node.
 void PeerUseTable::arbitrate_free_slots(std::uint64_t sender, const PeerState& before,
                                         const PeerState& after,
                                         const std::vector<ServiceDemand>& own_demand,
@@ -106,7 +108,7 @@
   }
 }
 
-void PeerUseTable::count(const PeerState& state, Direction direction) {
+void PeerUseTable::add_to_sums(const PeerState& state, Direction direction) {
   const int sign = direction == Direction::kAdd ? 1 : -1;
   for (const auto& use : state.uses) {
     Runner* runner = registry_.find_hash(use.runner);
@@ -117,19 +119,20 @@
   }
 }
 
-/// Runners came or went: digests that were taken in before may name them.
-void PeerUseTable::count_all_anew() {
+/// Recomputes all sums after runners were added or removed, since earlier digests may refer to
+/// them.
+void PeerUseTable::recount_all() {
   for (const auto& [id, runner] : registry_.all()) runner->set_peer_use(0, 0);
-  for (const auto& [sender, state] : states_) count(state, Direction::kAdd);
+  for (const auto& [sender, state] : states_) add_to_sums(state, Direction::kAdd);
   counted_revision_ = registry_.revision();
 }
 
-void PeerUseTable::note_heard(const PeerState& state, TimePoint now) {
+void PeerUseTable::record_responses(const PeerState& state, TimePoint now) {
   for (const auto& use : state.uses) {
-    if (use.heard_ms_ago == std::numeric_limits<std::uint16_t>::max()) continue;
+    if (use.response_age_ms == std::numeric_limits<std::uint16_t>::max()) continue;
     Runner* runner = registry_.find_hash(use.runner);
-    const TimePoint heard = now - std::chrono::milliseconds(use.heard_ms_ago);
-    if (runner != nullptr && heard > runner->last_heard()) runner->heard(heard);
+    const TimePoint responded_at = now - std::chrono::milliseconds(use.response_age_ms);
+    if (runner != nullptr && responded_at > runner->last_heard()) runner->heard(responded_at);
   }
 }
 
@@ -158,15 +161,15 @@
 
 bool PeerUseTable::expire(TimePoint now) {
   const std::size_t silent = std::erase_if(
-      states_, [now](const auto& entry) { return now - entry.second.received > kLifetime; });
-  if (silent > 0) count_all_anew();
+      states_, [now](const auto& entry) { return now - entry.second.received > kDigestLifetime; });
+  if (silent > 0) recount_all();
   const bool demand = demand_published_;
   if (demand) publish_demand(now);
   return silent > 0 || demand;
 }
 
-/// Whether a use holds batch items at a runner that the request names.
-bool PeerUseTable::is_batch_at(const RunnerUse& use, const YieldRequest& request) const {
+/// Whether a use includes batch items at a runner that the request specifies.
+bool PeerUseTable::runs_batch_at(const RunnerUse& use, const YieldRequest& request) const {
   if (use.batch_in_flight == 0) return false;
   if (request.runner != 0 && request.runner != use.runner) return false;
   const Runner* runner = registry_.find_hash(use.runner);
@@ -174,16 +177,17 @@
          runner->record().service == request.service;
 }
 
-std::uint32_t PeerUseTable::batch_at(const PeerState& state, const YieldRequest& request) const {
+std::uint32_t PeerUseTable::batch_items_at(const PeerState& state,
+                                           const YieldRequest& request) const {
   std::uint32_t count = 0;
   for (const auto& use : state.uses) {
-    if (is_batch_at(use, request)) count += use.batch_in_flight;
+    if (runs_batch_at(use, request)) count += use.batch_in_flight;
   }
   return count;
 }
 
-/// From now on the slot counts as free, until the node's next digest.
-void PeerUseTable::take_off_one(RunnerUse& use) {
+/// Counts one batch item less: its slot is considered free until the node's next digest.
+void PeerUseTable::discount_batch_item(RunnerUse& use) {
   --use.batch_in_flight;
   if (use.in_flight == 0) return;
   --use.in_flight;
@@ -192,21 +196,22 @@
   if (runner != nullptr && counted) runner->change_peer_use(-1, 0, -1);
 }
 
-std::optional<PeerUseTable::Endpoint> PeerUseTable::take_batch_place(const YieldRequest& request) {
-  PeerState* most = nullptr;
+std::optional<PeerUseTable::Endpoint> PeerUseTable::reserve_batch_slot(
+    const YieldRequest& request) {
+  PeerState* busiest = nullptr;
   std::uint32_t most_items = 0;
   for (auto& [sender, state] : states_) {
-    const std::uint32_t items = batch_at(state, request);
+    const std::uint32_t items = batch_items_at(state, request);
     if (items <= most_items) continue;
-    most = &state;
+    busiest = &state;
     most_items = items;
   }
-  if (most == nullptr) return std::nullopt;
-  const auto use = std::find_if(most->uses.begin(), most->uses.end(), [&](const RunnerUse& entry) {
-    return is_batch_at(entry, request);
-  });
-  if (use != most->uses.end()) take_off_one(*use);
-  return most->endpoint;
+  if (busiest == nullptr) return std::nullopt;
+  const auto use =
+      std::find_if(busiest->uses.begin(), busiest->uses.end(),
+                   [&](const RunnerUse& entry) { return runs_batch_at(entry, request); });
+  if (use != busiest->uses.end()) discount_batch_item(*use);
+  return busiest->endpoint;
 }
 
 }  // namespace stoathold
--- a/src/routing/peer_use_table.h
+++ b/src/routing/peer_use_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the other nodes use of the runners and wait for, kept up to date by differences.
+/// Use of the runners and demand by the other nodes, maintained incrementally.
 #pragma once
 
 #include <boost/asio/ip/udp.hpp>
@@ -16,30 +16,31 @@
 
 namespace stoathold {
 
-/// Table of the newest digest of each other node, and the system that brings its sums into the
-/// registry. The cost of a digest follows from its own size, not from the number of nodes or
-/// runners. Used on one thread; the registry outlives it.
+/// Table of the newest digest of each other node. Maintains the sums over all digests in the
+/// registry. The cost of a digest depends on its own size, not on the number of nodes or runners.
+/// Not thread-safe. The registry must outlive it.
 class PeerUseTable {
  public:
   using Endpoint = boost::asio::ip::udp::endpoint;
 
-  /// @param self this node, as in its own digests.
+  /// @param self identifier of this node, as in its digests.
   PeerUseTable(RunnerRegistry& registry, std::string zone, std::uint64_t self);
 
-  /// Whether a digest is newer than what its sender reported before.
-  [[nodiscard]] bool is_news(const LoadDigest& digest) const;
-  /// Takes a digest in.
-  /// @param endpoint where its sender is reached.
-  /// @param own_demand online work that waits at this node.
-  /// @return whether work that waits here may find a place now that it did not find before.
+  /// Whether a digest is newer than the last one taken from its sender.
+  [[nodiscard]] bool is_newer(const LoadDigest& digest) const;
+  /// Replaces the digest of a node and updates the sums in the registry.
+  /// @param endpoint of the sender.
+  /// @param own_demand online requests that wait at this node.
+  /// @return whether a slot may have become available to requests that wait at this node.
   bool take(LoadDigest digest, const Endpoint& endpoint,
             const std::vector<ServiceDemand>& own_demand, TimePoint now);
-  /// Forgets what nodes said that have been silent for long.
-  /// @return as `take`.
+  /// Drops the digests of nodes that have not sent one for a long time.
+  /// @return as `apply`.
   bool expire(TimePoint now);
-  /// Picks the node that runs the most batch items at the runners that the request names, and
-  /// counts one item less there until its next digest.
-  std::optional<Endpoint> take_batch_place(const YieldRequest& request);
+  /// Selects the node that runs the most batch items at the runners that the request specifies, and
+  /// counts one item less for it until its next digest.
+  /// @return the endpoint of the node; nothing if no node runs batch items there.
+  std::optional<Endpoint> reserve_batch_slot(const YieldRequest& request);
 
  private:
   struct PeerState {
@@ -51,28 +52,29 @@
     std::vector<ServiceDemand> demand;
   };
 
-  /// Adds a node's use to the runners' sums, or takes it off again.
+  /// Whether a node's use is added to the runners' sums or subtracted from them.
   enum class Direction : std::uint8_t { kAdd, kRemove };
-  void count(const PeerState& state, Direction direction);
-  void count_all_anew();
-  void take_off_one(RunnerUse& use);
-  void note_heard(const PeerState& state, TimePoint now);
+  void add_to_sums(const PeerState& state, Direction direction);
+  void recount_all();
+  void discount_batch_item(RunnerUse& use);
+  void record_responses(const PeerState& state, TimePoint now);
   void publish_demand(TimePoint now);
   void arbitrate_free_slots(std::uint64_t sender, const PeerState& before, const PeerState& after,
                             const std::vector<ServiceDemand>& own_demand, TimePoint now);
   [[nodiscard]] std::vector<SlotContender> contenders_for(
       const std::string& service, const std::vector<ServiceDemand>& own_demand,
       TimePoint now) const;
-  [[nodiscard]] bool uses_less(const PeerState& before, const PeerState& after) const;
-  [[nodiscard]] bool is_batch_at(const RunnerUse& use, const YieldRequest& request) const;
-  [[nodiscard]] std::uint32_t batch_at(const PeerState& state, const YieldRequest& request) const;
+  [[nodiscard]] bool has_reduced_use(const PeerState& before, const PeerState& after) const;
+  [[nodiscard]] bool runs_batch_at(const RunnerUse& use, const YieldRequest& request) const;
+  [[nodiscard]] std::uint32_t batch_items_at(const PeerState& state,
+                                             const YieldRequest& request) const;
 
   RunnerRegistry& registry_;
   std::string zone_;
   std::uint64_t zone_hash_;
   std::uint64_t self_;
   std::map<std::uint64_t, PeerState> states_;  ///< By sender.
-  std::uint64_t counted_revision_ = 0;         ///< Of the registry, when all was counted last.
+  std::uint64_t counted_revision_ = 0;         ///< Registry revision of the last full recount.
   bool demand_published_ = false;
 };
 
--- a/tests/routing/neighbour_table_test.cc
+++ b/tests/routing/neighbour_table_test.cc
@@ -12,11 +12,11 @@
   return {boost::asio::ip::address_v4(ip), kPort};
 }
 
-TEST(NeighbourTableTest, OnlyNodesHeardItselfAreTold) {
+TEST(NeighbourTableTest, ReportsOnlyNodesThatSentMessages) {
   NeighbourTable table;
   table.set_listed({endpoint(1)});
-  table.learn({{2, kPort}, {9, kPort}}, endpoint(9), kStart);
-  EXPECT_EQ(table.size(), 2U);  // Not itself.
+  table.add_reported({{2, kPort}, {9, kPort}}, endpoint(9), kStart);
+  EXPECT_EQ(table.size(), 2U);  // Without the node itself.
   EXPECT_TRUE(table.heard_lately(kStart).empty());
   table.heard(endpoint(2), kStart);
   ASSERT_EQ(table.heard_lately(kStart).size(), 1U);
@@ -24,7 +24,7 @@
   EXPECT_TRUE(table.heard_lately(kStart + std::chrono::seconds(4)).empty());
 }
 
-TEST(NeighbourTableTest, WhoIsNeitherListedNorHeardOfIsForgotten) {
+TEST(NeighbourTableTest, RemovesNodesNeitherListedNorMentioned) {
   NeighbourTable table;
   table.set_listed({endpoint(1)});
   table.heard(endpoint(2), kStart);
@@ -37,19 +37,19 @@
   EXPECT_TRUE(table.empty());
 }
 
-TEST(NeighbourTableTest, TheLowestAddressesHeardReportTheZone) {
+TEST(NeighbourTableTest, LowestLiveAddressesReportZone) {
   NeighbourTable table;
   table.heard(endpoint(1), kStart);
   table.heard(endpoint(2), kStart);
   table.heard(endpoint(8), kStart);
   EXPECT_FALSE(table.is_zone_reporter(endpoint(5), kStart));
-  // When they fall silent, the next ones report.
+  // When they are no longer live, the nodes with the next addresses report.
   const TimePoint later = kStart + std::chrono::seconds(3);
   table.heard(endpoint(2), later);
   EXPECT_TRUE(table.is_zone_reporter(endpoint(5), later));
 }
 
-TEST(NeighbourTableTest, EachNodeKnowsWhoReportsTheZone) {
+TEST(NeighbourTableTest, ReturnsZoneReporters) {
   NeighbourTable table;
   table.heard(endpoint(1), kStart);
   table.heard(endpoint(8), kStart);
--- a/tests/routing/peer_loads_test.cc
+++ b/tests/routing/peer_loads_test.cc
@@ -9,7 +9,7 @@
 namespace stoathold {
 namespace {
 
-TEST(LoadDigestTest, DamageIsNoticed) {
+TEST(LoadDigestTest, RejectsTruncatedMessage) {
   const LoadDigest digest{
       1,  2,     3,         {{3, 4, 2, 5, 6}, {7, 8, 1, 9, 10}}, {{14, 15, 16, 17}}, {{11, 1}},
       {}, false, {{12, 13}}};
@@ -20,7 +20,7 @@
   EXPECT_FALSE(decode_message(bytes.substr(0, bytes.size() - 1), read));
 }
 
-TEST(MemberNameTest, NamesAreParsedBack) {
+TEST(MemberNameTest, ParsesFormattedNames) {
   const MemberName name{"node-1", "zone-1", "10.0.0.1:7000"};
   const auto parsed = parse_member_name(format_member_name(name));
   ASSERT_TRUE(parsed);
@@ -29,8 +29,8 @@
   EXPECT_FALSE(parse_member_name("node-1"));
 }
 
-/// Two nodes on loopback that know the same runner.
-TEST(PeerLoadsTest, UseIsToldAndLearnedBack) {
+/// Uses two nodes on loopback that know the same runner.
+TEST(PeerLoadsTest, PropagatesUseAndItsEnd) {
   boost::asio::io_context loop;
   RunnerRegistry first_registry;
   RunnerRegistry second_registry;
@@ -47,7 +47,7 @@
   first.use_changed();
   for (int step = 0; step < 1000 && seen_by_second() != 700; ++step) loop.run_one();
   EXPECT_EQ(seen_by_second(), 700U);
-  // The second has not been told of the first, but has heard it.
+  // The second node was not given the address of the first one, but has received its message.
   EXPECT_EQ(second.peer_count(), 1U);
   first_registry.all().at("r1")->prompt_read(700);
   first_registry.all().at("r1")->end_attempt(AttemptOutcome::kServed, monotonic_now());
@@ -56,7 +56,7 @@
   EXPECT_EQ(seen_by_second(), 0U);
 }
 
-/// Nodes on loopback that know the same runners, one in each of two zones.
+/// Fixture for nodes on loopback that know the same two runners, one in each of two zones.
 class SharedRunnersTest : public testing::Test {
  protected:
   struct Node {
@@ -65,7 +65,7 @@
       registry.upsert({"a1", "chat", "10.0.0.1:80", "a", 10, false});
       registry.upsert({"b1", "chat", "10.0.0.2:80", "b", 10, false});
       loads.set_yield_handler([this](const YieldRequest& request) {
-        asked.push_back(request.service + "/" + request.zone);
+        yield_requests.push_back(request.service + "/" + request.zone);
       });
       loads.start();
     }
@@ -73,7 +73,7 @@
 
     RunnerRegistry registry;
     PeerLoads loads;
-    std::vector<std::string> asked;
+    std::vector<std::string> yield_requests;
   };
 
   template <typename Condition>
@@ -85,60 +85,60 @@
   boost::asio::io_context loop;
 };
 
-TEST_F(SharedRunnersTest, WhoRunsTheMostBatchInTheZoneIsAskedForAPlace) {
+TEST_F(SharedRunnersTest, AsksNodeWithMostBatchItemsInZoneToYield) {
   Node asking(loop, "a", 1);
-  Node little(loop, "a", 2);
-  Node much(loop, "b", 3);
+  Node few_items(loop, "a", 2);
+  Node many_items(loop, "b", 3);
   const YieldRequest anywhere{"chat", "a", 0};
   EXPECT_FALSE(asking.loads.ask_for_place(anywhere));
-  little.loads.set_peers({{asking.loads.address(), "a"}});
-  much.loads.set_peers({{asking.loads.address(), "a"}});
-  little.runner("a1").begin_attempt(0, WorkClass::kBatch);
-  // What runs in another zone is no place here.
-  for (int i = 0; i < 5; ++i) little.runner("b1").begin_attempt(0, WorkClass::kBatch);
-  for (int i = 0; i < 2; ++i) much.runner("a1").begin_attempt(0, WorkClass::kBatch);
-  little.loads.use_changed();
+  few_items.loads.set_peers({{asking.loads.address(), "a"}});
+  many_items.loads.set_peers({{asking.loads.address(), "a"}});
+  few_items.runner("a1").begin_attempt(0, WorkClass::kBatch);
+  // Batch items at runners of another zone do not count.
+  for (int i = 0; i < 5; ++i) few_items.runner("b1").begin_attempt(0, WorkClass::kBatch);
+  for (int i = 0; i < 2; ++i) many_items.runner("a1").begin_attempt(0, WorkClass::kBatch);
+  few_items.loads.use_changed();
   run_until([&] { return asking.runner("a1").load(monotonic_now()) > 0.25; });
   EXPECT_TRUE(asking.loads.ask_for_place(anywhere));
-  run_until([&] { return !much.asked.empty(); });
-  EXPECT_EQ(much.asked.front(), "chat/a");
-  EXPECT_TRUE(little.asked.empty());
+  run_until([&] { return !many_items.yield_requests.empty(); });
+  EXPECT_EQ(many_items.yield_requests.front(), "chat/a");
+  EXPECT_TRUE(few_items.yield_requests.empty());
 }
 
-TEST_F(SharedRunnersTest, WhoRunsBatchAtTheRunnerInNeedIsAskedForAPlaceThere) {
+TEST_F(SharedRunnersTest, AsksNodeWithBatchItemsAtGivenRunnerToYield) {
   Node asking(loop, "a", 1);
   Node elsewhere(loop, "a", 2);
-  Node there(loop, "a", 3);
+  Node at_runner(loop, "a", 3);
   const RunnerRecord second{"a2", "chat", "10.0.0.4:80", "a", 10, false};
-  for (Node* node : {&asking, &elsewhere, &there}) node->registry.upsert(second);
+  for (Node* node : {&asking, &elsewhere, &at_runner}) node->registry.upsert(second);
   elsewhere.loads.set_peers({{asking.loads.address(), "a"}});
-  there.loads.set_peers({{asking.loads.address(), "a"}});
+  at_runner.loads.set_peers({{asking.loads.address(), "a"}});
   for (int i = 0; i < 5; ++i) elsewhere.runner("a1").begin_attempt(0, WorkClass::kBatch);
-  there.runner("a2").begin_attempt(0, WorkClass::kBatch);
+  at_runner.runner("a2").begin_attempt(0, WorkClass::kBatch);
   elsewhere.loads.use_changed();
-  there.loads.use_changed();
+  at_runner.loads.use_changed();
   run_until([&] { return asking.loads.peer_count() == 2; });
   EXPECT_TRUE(asking.loads.ask_for_place({"chat", "a", asking.runner("a2").hash()}));
-  run_until([&] { return !there.asked.empty(); });
-  EXPECT_TRUE(elsewhere.asked.empty());
+  run_until([&] { return !at_runner.yield_requests.empty(); });
+  EXPECT_TRUE(elsewhere.yield_requests.empty());
 }
 
-TEST_F(SharedRunnersTest, UseFromAnotherZoneIsToldOnceAndPassedOn) {
-  Node told(loop, "a", 1);
-  Node also(loop, "a", 2);
+TEST_F(SharedRunnersTest, UseFromAnotherZoneIsForwardedInZone) {
+  Node receiver(loop, "a", 1);
+  Node other(loop, "a", 2);
   Node user(loop, "b", 3);
-  told.loads.set_peers({{also.loads.address(), "a"}});
-  user.loads.set_peers({{told.loads.address(), "a"}});
+  receiver.loads.set_peers({{other.loads.address(), "a"}});
+  user.loads.set_peers({{receiver.loads.address(), "a"}});
   for (int i = 0; i < 3; ++i) user.runner("a1").begin_attempt(0, WorkClass::kBatch);
-  run_until([&] { return also.runner("a1").load(monotonic_now()) > 0.25; });
-  EXPECT_GT(told.runner("a1").load(monotonic_now()), 0.25);
-  // Who is asked for a place is the node that runs the items, not the one that passed it on.
-  EXPECT_TRUE(also.loads.ask_for_place({"chat", "a", 0}));
-  run_until([&] { return !user.asked.empty(); });
-  EXPECT_TRUE(told.asked.empty());
+  run_until([&] { return other.runner("a1").load(monotonic_now()) > 0.25; });
+  EXPECT_GT(receiver.runner("a1").load(monotonic_now()), 0.25);
+  // The request goes to the node that runs the items, not to the one that forwarded its digest.
+  EXPECT_TRUE(other.loads.ask_for_place({"chat", "a", 0}));
+  run_until([&] { return !user.yield_requests.empty(); });
+  EXPECT_TRUE(receiver.yield_requests.empty());
 }
 
-TEST_F(SharedRunnersTest, NodesThatTheGroupDoesNotListLearnOfOneAnother) {
+TEST_F(SharedRunnersTest, UnlistedNodesDiscoverOneAnother) {
   // The group lists the members that hold slots; most nodes of a large zone hold none.
   Node listed(loop, "a", 1);
   Node first(loop, "a", 2);
@@ -151,7 +151,7 @@
   run_until([&] { return second.runner("a1").total_backlog() == 700; });
 }
 
-TEST_F(SharedRunnersTest, UseToldBeforeARunnerIsKnownCountsOnceItIs) {
+TEST_F(SharedRunnersTest, UseOfUnknownRunnerCountsOnceItIsAdded) {
   Node user(loop, "a", 1);
   Node other(loop, "a", 2);
   user.registry.upsert({"late", "chat", "10.0.0.3:80", "a", 10, false});
@@ -165,107 +165,107 @@
   run_until([&] { return other.runner("late").total_backlog() == 700; });
 }
 
-TEST_F(SharedRunnersTest, OtherZonesAreToldOfTheLoadHere) {
-  Node near(loop, "a", 1);
+TEST_F(SharedRunnersTest, ReportsZoneLoadsToOtherZones) {
+  Node sender(loop, "a", 1);
   Node far(loop, "b", 2);
-  Node also_far(loop, "b", 3);
-  near.loads.set_peers({{far.loads.address(), "b"}});
-  far.loads.set_peers({{also_far.loads.address(), "b"}});
-  EXPECT_FALSE(also_far.runner("a1").zone_load_known(monotonic_now()));
-  for (int i = 0; i < 6; ++i) near.runner("a1").begin_attempt();
-  run_until([&] { return also_far.runner("a1").load(monotonic_now()) > 0.55; });
-  EXPECT_TRUE(also_far.runner("a1").zone_load_known(monotonic_now()));
-  // What is sent there afterwards comes on top of it.
-  also_far.runner("a1").begin_attempt();
-  EXPECT_GT(also_far.runner("a1").load(monotonic_now()), 0.65);
+  Node second_far(loop, "b", 3);
+  sender.loads.set_peers({{far.loads.address(), "b"}});
+  far.loads.set_peers({{second_far.loads.address(), "b"}});
+  EXPECT_FALSE(second_far.runner("a1").zone_load_known(monotonic_now()));
+  for (int i = 0; i < 6; ++i) sender.runner("a1").begin_attempt();
+  run_until([&] { return second_far.runner("a1").load(monotonic_now()) > 0.55; });
+  EXPECT_TRUE(second_far.runner("a1").zone_load_known(monotonic_now()));
+  // Requests sent there afterwards are added to the reported load.
+  second_far.runner("a1").begin_attempt();
+  EXPECT_GT(second_far.runner("a1").load(monotonic_now()), 0.65);
 }
 
-TEST_F(SharedRunnersTest, ARunnerAtWhichTwoNodesFailedIsLeftAloneByTheOthers) {
+TEST_F(SharedRunnersTest, FailuresOfTwoNodesEjectRunnerAtOthers) {
   Node first(loop, "a", 1);
   Node second(loop, "a", 2);
   Node third(loop, "a", 3);
-  const auto fail = [&](Node& node) {
+  const auto fail_attempt = [&](Node& node) {
     node.loads.set_peers({{third.loads.address(), "a"}});
     node.runner("a1").begin_attempt();
     node.runner("a1").end_attempt(AttemptOutcome::kUnreachable, monotonic_now());
     node.loads.use_changed();
   };
-  fail(first);
+  fail_attempt(first);
   run_until([&] { return third.loads.peer_count() == 1; });
   EXPECT_FALSE(third.runner("a1").ejected(monotonic_now()));
-  fail(second);
+  fail_attempt(second);
   run_until([&] { return third.runner("a1").ejected(monotonic_now()); });
   EXPECT_FALSE(third.runner("b1").ejected(monotonic_now()));
 }
 
-TEST_F(SharedRunnersTest, EndsOfRunnersAreToldInTheZoneAndPassedOnInOthers) {
-  const ContentHash deadly{7};
+TEST_F(SharedRunnersTest, RunnerTerminationsReachAllZones) {
+  const ContentHash crashing_request{7};
   Node first(loop, "a", 1);
   Node second(loop, "a", 2);
   Node far(loop, "b", 3);
-  Node also_far(loop, "b", 4);
+  Node second_far(loop, "b", 4);
   std::vector<std::unique_ptr<Quarantine>> quarantines;
-  for (Node* node : {&first, &second, &far, &also_far}) {
+  for (Node* node : {&first, &second, &far, &second_far}) {
     quarantines.push_back(std::make_unique<Quarantine>([](std::uint64_t) { return std::nullopt; }));
     node->loads.share_runner_ends(*quarantines.back());
   }
   const auto holds = [&](std::size_t node) {
-    return quarantines[node]->holds(deadly, monotonic_now());
+    return quarantines[node]->holds(crashing_request, monotonic_now());
   };
-  // Seen before any other node is known: told once there is somebody to tell.
-  quarantines[0]->note_end({deadly, 11, RunStage::kBegun, monotonic_now()});
+  // Recorded before any other node is known, and reported once there is one.
+  quarantines[0]->note_end({crashing_request, 11, RunStage::kBegun, monotonic_now()});
   run_until([&, turn = 0]() mutable { return ++turn > 5; });
   first.loads.set_peers({{second.loads.address(), "a"}, {far.loads.address(), "b"}});
-  far.loads.set_peers({{also_far.loads.address(), "b"}});
-  quarantines[0]->note_end({deadly, 12, RunStage::kBegun, monotonic_now()});
-  quarantines[2]->note_end({deadly, 13, RunStage::kBegun, monotonic_now()});
+  far.loads.set_peers({{second_far.loads.address(), "b"}});
+  quarantines[0]->note_end({crashing_request, 12, RunStage::kBegun, monotonic_now()});
+  quarantines[2]->note_end({crashing_request, 13, RunStage::kBegun, monotonic_now()});
   run_until([&] { return holds(2) && holds(3); });
-  quarantines[1]->note_end({deadly, 14, RunStage::kBegun, monotonic_now()});
+  quarantines[1]->note_end({crashing_request, 14, RunStage::kBegun, monotonic_now()});
   run_until([&] { return holds(1); });
 }
 
-TEST_F(SharedRunnersTest, DemandIsToldInsideTheZoneAndGrowsOld) {
+TEST_F(SharedRunnersTest, DemandIsReportedInZoneAndExpires) {
   Node waiting(loop, "a", 1);
-  Node near(loop, "a", 2);
-  bool waits = true;
+  Node neighbour(loop, "a", 2);
+  bool has_demand = true;
   waiting.loads.set_demand_source([&] {
-    return waits ? std::vector<ServiceDemand>{{stable_hash("chat"), 1}}
-                 : std::vector<ServiceDemand>{};
+    return has_demand ? std::vector<ServiceDemand>{{stable_hash("chat"), 1}}
+                      : std::vector<ServiceDemand>{};
   });
-  waiting.loads.set_peers({{near.loads.address(), "a"}});
+  waiting.loads.set_peers({{neighbour.loads.address(), "a"}});
   waiting.loads.use_changed();
-  run_until([&] { return near.registry.peers_wait_for("chat"); });
-  EXPECT_FALSE(near.registry.peers_wait_for("other"));
-  // Nothing more is told, as if the node had died.
-  run_until([&] { return !near.registry.peers_wait_for("chat"); });
+  run_until([&] { return neighbour.registry.peers_wait_for("chat"); });
+  EXPECT_FALSE(neighbour.registry.peers_wait_for("other"));
+  // Without further reports, as after a crash of the node, the demand expires.
+  run_until([&] { return !neighbour.registry.peers_wait_for("chat"); });
 }
 
-TEST_F(SharedRunnersTest, ANodeWithWorkThatWouldBeLateBorrowsSlotsOfAnotherZone) {
+TEST_F(SharedRunnersTest, NodeWithLateRequestsBorrowsSlotsOfAnotherZone) {
   Node lender(loop, "a", 1);
-  Node asked(loop, "a", 2);
+  Node forwarder(loop, "a", 2);
   Node borrower(loop, "b", 3);
   const TimePoint long_ago = monotonic_now() - 2 * kLoanLifetime;
-  SlotExchange lending(lender.registry, "a", 1, long_ago);
-  SlotExchange passing(asked.registry, "a", 2, long_ago);
-  SlotExchange borrowing(borrower.registry, "b", 3, long_ago);
+  SlotExchange lender_exchange(lender.registry, "a", 1, long_ago);
+  SlotExchange forwarder_exchange(forwarder.registry, "a", 2, long_ago);
+  SlotExchange borrower_exchange(borrower.registry, "b", 3, long_ago);
   const auto none = [](TimePoint) { return std::vector<WaitingWork>{}; };
-  const auto late = [](TimePoint) {
+  const auto late_requests = [](TimePoint) {
     return std::vector<WaitingWork>{{stable_hash(std::string("chat")), Duration{0}, Duration{0}}};
   };
-  lender.loads.share_slots(lending, none);
-  asked.loads.share_slots(passing, none);
-  borrower.loads.share_slots(borrowing, late);
+  lender.loads.share_slots(lender_exchange, none);
+  forwarder.loads.share_slots(forwarder_exchange, none);
+  borrower.loads.share_slots(borrower_exchange, late_requests);
   borrower.registry.set_lending(true);
-  lender.loads.set_peers({{asked.loads.address(), "a"}});
-  asked.loads.set_peers({{lender.loads.address(), "a"}});
-  // The node that is asked may not be the one that lends at the runner.
-  borrower.loads.set_peers({{asked.loads.address(), "a"}});
+  lender.loads.set_peers({{forwarder.loads.address(), "a"}});
+  forwarder.loads.set_peers({{lender.loads.address(), "a"}});
+  // The node that receives the request need not be the lender of the runner.
+  borrower.loads.set_peers({{forwarder.loads.address(), "a"}});
   borrower.loads.use_changed();
   const auto lent = [](Node& node) { return node.runner("a1").lent(); };
   run_until([&] { return borrower.runner("a1").unused_borrowed(monotonic_now()) == 1; });
-  EXPECT_EQ(lent(lender) + lent(asked), 1U);
-  // The other node of the zone learns of it by a digest.
-  Node& other = lent(lender) == 1 ? asked : lender;
+  EXPECT_EQ(lent(lender) + lent(forwarder), 1U);
+  // The digest of the lender informs the other node of the zone.
+  Node& other = lent(lender) == 1 ? forwarder : lender;
   run_until([&] { return other.runner("a1").load(monotonic_now()) > 0; });
 }
 
@@ -285,27 +285,31 @@
   PeerLoads loads;
 };
 
-// A node that stopped as planned was taken for silent for 20 s, as one that is cut off.
-TEST_F(SharedRunnersTest, ANodeThatLeavesIsNotTakenForSilentInAnyZone) {
+// Guards against treating a planned shutdown as a failure: a node that had shut down was considered
+// silent for 20 s, like a partitioned node.
+TEST_F(SharedRunnersTest, LeavingNodeIsNotConsideredSilentInAnyZone) {
   LimitedNode leaving(loop, "a", 1);
-  LimitedNode near(loop, "a", 2);
+  LimitedNode neighbour(loop, "a", 2);
   LimitedNode far(loop, "b", 3);
-  leaving.loads.set_peers({{near.loads.address(), "a"}, {far.loads.address(), "b"}});
+  leaving.loads.set_peers({{neighbour.loads.address(), "a"}, {far.loads.address(), "b"}});
   const auto run_for = [&](Duration time) {
     const TimePoint end = monotonic_now() + time;
     run_until([&] { return monotonic_now() > end; });
   };
   run_for(std::chrono::milliseconds(300));
-  // What it admits from now on counts, since it is known.
-  const double at_first = near.available();
+  // Requests that it admits from now on count, since the other nodes know it.
+  const double initially_available = neighbour.available();
   for (int i = 0; i < 3; ++i) {
     leaving.limits.admit(leaving.directory.tenants().front(), monotonic_now());
   }
   leaving.loads.use_changed();
-  run_until([&] { return near.available() < at_first - 2 && far.available() < at_first - 2; });
+  run_until([&] {
+    return neighbour.available() < initially_available - 2 &&
+           far.available() < initially_available - 2;
+  });
   leaving.loads.leave();
   run_for(std::chrono::milliseconds(900));
-  EXPECT_EQ(near.limits.silent_nodes(), 0U);
+  EXPECT_EQ(neighbour.limits.silent_nodes(), 0U);
   EXPECT_EQ(far.limits.silent_nodes(), 0U);
 }
 
