--- a/tests/routing/peer_ejections_test.cc
+++ b/tests/routing/peer_ejections_test.cc
@@ -23,14 +23,14 @@
   return {reporter, after_ms(failed_at_ms), after_ms(until_ms), failures};
 }
 
-TEST(PeerEjectionsTest, OneReporterEjectsNothing) {
+TEST(PeerEjectionsTest, OneReporterDoesNotEject) {
   PeerEjections ejections;
   ejections.take(report(1, 0, 500), kStart);
   ejections.take(report(1, 10, 600), kStart);
   EXPECT_EQ(ejections.ejected_until(kNever, {}, false), kNever);
 }
 
-TEST(PeerEjectionsTest, TwoReportersEjectUntilTheFirstOfThemTriesAgain) {
+TEST(PeerEjectionsTest, TwoReportersEjectUntilFirstRetry) {
   PeerEjections ejections;
   ejections.take(report(1, 0, 500), kStart);
   ejections.take(report(2, 0, 900), kStart);
@@ -39,13 +39,13 @@
   EXPECT_EQ(ejections.ejected_until(kNever, {}, false), after_ms(700));
 }
 
-TEST(PeerEjectionsTest, AnOwnFailureCountsAsAReport) {
+TEST(PeerEjectionsTest, OwnFailureCountsAsReport) {
   PeerEjections ejections;
   ejections.take(report(1, 0, 500), kStart);
   EXPECT_EQ(ejections.ejected_until(kNever, {}, true), after_ms(500));
 }
 
-TEST(PeerEjectionsTest, WhatWasHeardSinceRefutesAReport) {
+TEST(PeerEjectionsTest, LaterResponseRefutesReport) {
   PeerEjections ejections;
   ejections.take(report(1, 0, 500, 3), kStart);
   ejections.take(report(2, 20, 900, 2), kStart);
@@ -55,18 +55,18 @@
   EXPECT_EQ(ejections.failures(after_ms(20), {}), 0U);
 }
 
-/// Nodes of one zone that know the same runner, which answers nobody. Reports are delivered after
-/// a fixed delay, as digests are.
-class DarkRunnerZone {
+/// Simulates nodes of one zone that share a runner which never responds. Reports are delivered
+/// after a fixed delay, as digests are.
+class UnresponsiveRunnerZone {
  public:
-  DarkRunnerZone(std::size_t nodes, bool reports_shared) : reports_shared_(reports_shared) {
+  UnresponsiveRunnerZone(std::size_t nodes, bool reports_shared) : reports_shared_(reports_shared) {
     for (std::size_t i = 0; i < nodes; ++i) {
       runners_.emplace_back(RunnerRecord{"r1", "chat", "10.0.0.1:80", "zone", 5, false});
     }
   }
 
-  /// Each node wants to use the runner at each step of 10 ms, in turn.
-  /// @return attempts at the runner.
+  /// In each step of 10 ms one node, in round-robin order, tries to use the runner.
+  /// @return the number of attempts at the runner.
   std::size_t run(int steps) {
     constexpr int kStepMs = 10;
     for (int step = 0; step < steps; ++step) {
@@ -77,14 +77,14 @@
       if (runner.ejected(now)) continue;
       runner.begin_attempt();
       ++attempts_;
-      open_.push_back({&runner, now + kConnectPatience});
+      open_.push_back({&runner, now + kConnectTimeout});
       if (reports_shared_) change_peer_use(runner, 1);
     }
     return attempts_;
   }
 
  private:
-  static constexpr Duration kConnectPatience = std::chrono::milliseconds(60);
+  static constexpr Duration kConnectTimeout = std::chrono::milliseconds(60);
   static constexpr Duration kReportDelay = std::chrono::milliseconds(30);
 
   struct OpenAttempt {
@@ -133,22 +133,22 @@
   std::size_t attempts_ = 0;
 };
 
-TEST(PeerEjectionsTest, AttemptsAtADarkRunnerDoNotGrowWithTheNodes) {
+TEST(PeerEjectionsTest, AttemptsAtUnresponsiveRunnerDoNotGrowWithNodes) {
   constexpr int kSteps = 1000;  // 10 s.
-  const std::size_t alone = DarkRunnerZone(60, false).run(kSteps);
-  const std::size_t few = DarkRunnerZone(4, true).run(kSteps);
-  const std::size_t many = DarkRunnerZone(60, true).run(kSteps);
-  EXPECT_GE(alone, 200U);
-  EXPECT_LE(few, 40U);
-  EXPECT_LE(many, 40U);
+  const std::size_t without_reports = UnresponsiveRunnerZone(60, false).run(kSteps);
+  const std::size_t few_nodes = UnresponsiveRunnerZone(4, true).run(kSteps);
+  const std::size_t many_nodes = UnresponsiveRunnerZone(60, true).run(kSteps);
+  EXPECT_GE(without_reports, 200U);
+  EXPECT_LE(few_nodes, 40U);
+  EXPECT_LE(many_nodes, 40U);
 }
 
-TEST(PeerEjectionsTest, ARunnerThatIsHeardAgainIsUsedByAll) {
+TEST(PeerEjectionsTest, RunnerThatRespondsAgainIsUsedByAllNodes) {
   Runner runner({"r1", "chat", "10.0.0.1:80", "zone", 5, false});
   runner.take_peer_ejection(report(1, 0, 500), kStart);
   runner.take_peer_ejection(report(2, 0, 500), kStart);
   EXPECT_TRUE(runner.ejected(after_ms(100)));
-  // The pause is over: one request at a time, at whichever node.
+  // After the ejection one trial request at a time is allowed, over all nodes.
   EXPECT_FALSE(runner.ejected(after_ms(600)));
   runner.set_peer_use(1, 0);
   EXPECT_TRUE(runner.ejected(after_ms(600)));
