--- a/src/routing/configuration_catch_up.cc
+++ b/src/routing/configuration_catch_up.cc
@@ -12,14 +12,14 @@
 
 namespace asio = boost::asio;
 
-/// The store delivers a new record to all nodes within some 30 ms (measured); a node that is behind
-/// for longer has lost touch with it.
-constexpr Duration kStoreHeadStart = std::chrono::milliseconds(200);
+/// The store delivers a new record to all nodes within about 30 ms; a node that stays behind for
+/// this time has lost contact with it.
+constexpr Duration kStoreDeliveryGrace = std::chrono::milliseconds(200);
 constexpr Duration kCallTimeout = std::chrono::milliseconds(500);
-/// For a node that has to ask the log first.
+/// Timeout for a request to a node that must read the log first.
 constexpr Duration kConfirmTimeout = std::chrono::milliseconds(200);
-/// Nodes that are asked for one confirmation.
-constexpr std::size_t kMaxPeersAsked = 2;
+/// Maximum number of nodes that are queried for one confirmation.
+constexpr std::size_t kMaxConfirmingPeers = 2;
 constexpr int kNoContent = 204;
 
 }  // namespace
@@ -28,21 +28,21 @@
                                            CurrentVersion current, Apply apply)
     : executor_(executor),
       client_(executor, LoopThreads::kOne),
-      current_(std::move(current)),
+      current_version_(std::move(current)),
       apply_(std::move(apply)) {}
 
 void ConfigurationCatchUp::advertised(const std::string& address, std::uint64_t version) {
-  const std::uint64_t own = current_();
-  if (own == 0 || version <= own) return;
+  const std::uint64_t own_version = current_version_();
+  if (own_version == 0 || version <= own_version) return;
   const TimePoint now = monotonic_now();
-  if (behind_at_ != own) behind_since_ = now;
-  behind_at_ = own;
-  if (fetching_ || now - behind_since_ < kStoreHeadStart) return;
+  if (outdated_version_ != own_version) outdated_since_ = now;
+  outdated_version_ = own_version;
+  if (fetching_ || now - outdated_since_ < kStoreDeliveryGrace) return;
   fetching_ = true;
   asio::co_spawn(executor_, fetch(address), asio::detached);
 }
 
-bool ConfigurationCatchUp::take(HttpReply& reply) {
+bool ConfigurationCatchUp::apply_reply(HttpReply& reply) {
   StoredRecord record;
   const std::string_view offset = reply.header(kRecordOffsetHeader);
   const auto parsed = std::from_chars(offset.data(), offset.data() + offset.size(), record.offset);
@@ -53,23 +53,23 @@
 }
 
 asio::awaitable<bool> ConfigurationCatchUp::confirm(std::vector<std::string> addresses,
-                                                    RecordOffset in_force) {
-  for (std::size_t asked = 0; asked < kMaxPeersAsked && !addresses.empty(); ++asked) {
+                                                    RecordOffset held_offset) {
+  for (std::size_t attempts = 0; attempts < kMaxConfirmingPeers && !addresses.empty(); ++attempts) {
     HttpCall call;
     call.address = take_random(addresses);
     call.method = "GET";
     call.target = kConfirmedConfigurationTarget;
-    call.headers.push_back({kHeldOffsetHeader, std::to_string(in_force)});
+    call.headers.push_back({kHeldOffsetHeader, std::to_string(held_offset)});
     call.timeout = kConfirmTimeout;
     const std::string peer = call.address;
-    const std::uint64_t before = current_();
+    const std::uint64_t previous_version = current_version_();
     HttpReply reply = co_await client_.call(std::move(call));
     const bool unchanged = reply.progress == HttpProgress::kAnswered && reply.status == kNoContent;
-    const bool confirmed = unchanged || take(reply);
+    const bool confirmed = unchanged || apply_reply(reply);
     log_event(Event::kConfigurationFromPeer, {{"peer", peer},
                                               {"status", std::to_string(reply.status)},
-                                              {"before", std::to_string(before)},
-                                              {"version", std::to_string(current_())}});
+                                              {"before", std::to_string(previous_version)},
+                                              {"version", std::to_string(current_version_())}});
     if (confirmed) co_return true;
   }
   co_return false;
@@ -81,13 +81,13 @@
   call.method = "GET";
   call.target = kConfigurationTarget;
   call.timeout = kCallTimeout;
-  const std::uint64_t before = current_();
+  const std::uint64_t previous_version = current_version_();
   HttpReply reply = co_await client_.call(std::move(call));
-  take(reply);
+  apply_reply(reply);
   log_event(Event::kConfigurationFromPeer, {{"peer", address},
                                             {"status", std::to_string(reply.status)},
-                                            {"before", std::to_string(before)},
-                                            {"version", std::to_string(current_())}});
+                                            {"before", std::to_string(previous_version)},
+                                            {"version", std::to_string(current_version_())}});
   fetching_ = false;
 }
 
--- a/src/routing/configuration_confirmation.cc
+++ b/src/routing/configuration_confirmation.cc
@@ -7,17 +7,19 @@
 
 namespace asio = boost::asio;
 
-/// How long a confirmation counts. Bounds what denials cost the log: two calls a second per node.
+/// Time for which a confirmation is valid. Limits the load of denials on the log to two calls per
+/// second and node.
 constexpr Duration kConfirmationLifetime = std::chrono::milliseconds(500);
-/// How long a caller waits for the log. A read of it takes some 10 ms.
-constexpr Duration kLogPatience = std::chrono::milliseconds(300);
-/// How long a caller waits for other nodes after that.
-constexpr Duration kPeersPatience = std::chrono::milliseconds(400);
-/// How long after a failure callers are refused at once, so that they try another node sooner.
-constexpr Duration kPauseAfterFailure = std::chrono::milliseconds(300);
-
-bool is_within(TimePoint past, Duration duration) {
-  return past != TimePoint{} && monotonic_now() - past <= duration;
+/// Maximum time a caller waits for the log. A read takes about 10 ms.
+constexpr Duration kLogTimeout = std::chrono::milliseconds(300);
+/// Maximum time a caller then waits for other nodes.
+constexpr Duration kPeersTimeout = std::chrono::milliseconds(400);
+/// Time after a failure during which callers fail immediately, so that they try another node
+/// sooner.
+constexpr Duration kFailureBackoff = std::chrono::milliseconds(300);
+
+bool is_recent(TimePoint time_point, Duration duration) {
+  return time_point != TimePoint{} && monotonic_now() - time_point <= duration;
 }
 
 }  // namespace
@@ -29,20 +31,20 @@
 }
 
 asio::awaitable<bool> ConfigurationConfirmation::confirm() {
-  if (is_within(position().confirmed_at, kConfirmationLifetime)) co_return true;
-  if (is_within(failed_at_, kPauseAfterFailure)) co_return false;
+  if (is_recent(position().confirmed_at, kConfirmationLifetime)) co_return true;
+  if (is_recent(last_failure_, kFailureBackoff)) co_return false;
   const bool confirmed = co_await confirm_by_log();
   if (confirmed) co_return true;
   const SharedRead::Read ask = [this] { return ask_peers(); };
-  const LogStatus status = co_await peer_reads_.run(ask, monotonic_now() + kPeersPatience);
-  if (status != LogStatus::kOk) failed_at_ = monotonic_now();
+  const LogStatus status = co_await peer_reads_.run(ask, monotonic_now() + kPeersTimeout);
+  if (status != LogStatus::kOk) last_failure_ = monotonic_now();
   co_return status == LogStatus::kOk;
 }
 
 asio::awaitable<bool> ConfigurationConfirmation::confirm_by_log() {
-  if (is_within(sources_.position().confirmed_at, kConfirmationLifetime)) co_return true;
+  if (is_recent(sources_.position().confirmed_at, kConfirmationLifetime)) co_return true;
   const SharedRead::Read read = [this] { return sources_.read_log(); };
-  const LogStatus status = co_await log_reads_.run(read, monotonic_now() + kLogPatience);
+  const LogStatus status = co_await log_reads_.run(read, monotonic_now() + kLogTimeout);
   co_return status == LogStatus::kOk;
 }
 
--- a/src/routing/configuration_confirmation.h
+++ b/src/routing/configuration_confirmation.h
@@ -1,5 +1,5 @@
 /// @file
-/// Makes sure that a node's configuration is the newest one before callers are denied by it.
+/// Confirms that a node's configuration is the newest one before a request is denied based on it.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -11,31 +11,33 @@
 
 namespace stoathold {
 
-/// Who can confirm a configuration.
+/// Sources that can confirm a configuration.
 struct ConfirmationSources {
-  /// Where the node stands in the log of the configuration.
+  /// Returns the node's position in the configuration log.
   ConfigurationPositionSource position;
-  /// Reads that log to its end, and puts in force what it brings.
+  /// Reads that log to its end and applies new records.
   std::function<boost::asio::awaitable<LogStatus>()> read_log;
-  /// Asks other nodes, and puts in force what they bring; returns whether one has read the log.
+  /// Queries other nodes and applies the records that they return; returns whether one of them has
+  /// read the log.
   std::function<boost::asio::awaitable<bool>()> ask_peers;
 };
 
-/// A request that a newer configuration allows must not be denied (401, 404) by an older one: its
-/// caller would not come again. A node that follows the log is up to date within some 10 ms, and
-/// can't tell when it no longer is. So a denial needs a read of the log that was sent a moment ago.
-/// Where the log does not answer this node, another one may read it.
+/// A request that a newer configuration allows must not be denied (401, 404) by an older one, since
+/// clients do not retry such responses. A node that follows the log is up to date within about 10
+/// ms but cannot detect when it no longer is. So a denial requires a recent read of the log. If the
+/// log does not respond to this node, another node may read it.
 ///
-/// Callers who overlap share the reads. Used on one thread; outlives its calls.
+/// Concurrent callers share the reads. Not thread-safe. Must outlive its calls.
 class ConfigurationConfirmation {
  public:
   explicit ConfigurationConfirmation(ConfirmationSources sources) : sources_(std::move(sources)) {}
 
-  /// Whether the configuration that is in force afterwards was the newest a moment ago.
+  /// Confirms the configuration, and updates it if it is outdated.
+  /// @return whether the configuration in force afterwards was recently the newest.
   boost::asio::awaitable<bool> confirm();
-  /// The same without asking other nodes: for those that ask this one.
+  /// Like `confirm`, but without querying other nodes; used for the queries of other nodes.
   boost::asio::awaitable<bool> confirm_by_log();
-  /// Where the node stands; other nodes' confirmations count.
+  /// Returns the node's position, with confirmations by other nodes taken into account.
   [[nodiscard]] ConfigurationPosition position() const;
 
  private:
@@ -45,7 +47,7 @@
   SharedRead log_reads_;
   SharedRead peer_reads_;
   TimePoint confirmed_by_peers_{};
-  TimePoint failed_at_{};  ///< When nobody confirmed last; the clock's start: never.
+  TimePoint last_failure_{};  ///< When confirmation last failed; the clock's epoch: never.
 };
 
 }  // namespace stoathold
--- a/src/routing/configuration_position.h
+++ b/src/routing/configuration_position.h
@@ -1,5 +1,5 @@
 /// @file
-/// How new the configuration of a node is, as far as the node can tell.
+/// Position of a node in the configuration log: how recent its configuration is known to be.
 #pragma once
 
 #include <functional>
@@ -11,16 +11,17 @@
 
 namespace stoathold {
 
-/// The place of a node in the log of the configuration.
+/// Position of a node in the configuration log.
 struct ConfigurationPosition {
-  RecordOffset next_offset = 0;  ///< Of the first record that was not read.
+  RecordOffset next_offset = 0;  ///< Offset of the first unread record.
   RecordOffset end = 0;          ///< Last known end of the log.
-  /// When the last read that found nothing unread was sent; the clock's start: never.
+  /// When the last read that found no unread record was sent; the clock's epoch: never.
   TimePoint confirmed_at{};
 
-  /// Records that the node knows of and has not read.
+  /// Returns the number of known records that the node has not read.
   [[nodiscard]] RecordOffset behind() const { return end > next_offset ? end - next_offset : 0; }
-  /// Milliseconds since the configuration was last confirmed, for logs; `never` if it was not.
+  /// Returns the milliseconds since the configuration was last confirmed, for logs; `never` if it
+  /// has not been confirmed.
   [[nodiscard]] std::string age_text(TimePoint now) const {
     return confirmed_at == TimePoint{} ? "never" : milliseconds_text(now - confirmed_at);
   }
--- a/src/routing/member_name.h
+++ b/src/routing/member_name.h
@@ -1,5 +1,5 @@
 /// @file
-/// The name of a node in the workers' group. It carries what other nodes need to reach it.
+/// Name of a node in the worker group, which contains the address at which other nodes reach it.
 #pragma once
 
 #include <optional>
@@ -8,16 +8,16 @@
 
 namespace stoathold {
 
-/// A node as its group name describes it.
+/// Components of a node's name in the worker group.
 struct MemberName {
   std::string node;
   std::string zone;
-  std::string peer_address;  ///< `ip:port` for messages between nodes; empty: none.
+  std::string peer_address;  ///< `ip:port` for messages between nodes; empty if there is none.
 };
 
-/// Writes `node|zone|address`.
+/// Returns the name in the form `node|zone|address`.
 std::string format_member_name(const MemberName& name);
-/// Parses it; nothing if it is malformed.
+/// Parses a name; returns nothing if it is malformed.
 std::optional<MemberName> parse_member_name(std::string_view text);
 
 }  // namespace stoathold
--- a/tests/routing/configuration_confirmation_test.cc
+++ b/tests/routing/configuration_confirmation_test.cc
@@ -9,7 +9,7 @@
 namespace stoathold {
 namespace {
 
-/// A node whose log and neighbours answer as the test says.
+/// A node whose log and peers respond as configured by the test.
 class ConfigurationConfirmationTest : public testing::Test {
  protected:
   bool confirm() { return run_awaitable(loop, confirmation.confirm()); }
@@ -19,7 +19,7 @@
     co_return log_status;
   }
   boost::asio::awaitable<bool> ask_peers() {
-    ++peer_asks;
+    ++peer_queries;
     co_return peers_confirm;
   }
 
@@ -28,44 +28,44 @@
   LogStatus log_status = LogStatus::kOk;
   bool peers_confirm = false;
   int log_reads = 0;
-  int peer_asks = 0;
+  int peer_queries = 0;
   ConfigurationConfirmation confirmation{
       {[this] { return position; }, [this] { return read_log(); }, [this] { return ask_peers(); }}};
 };
 
-TEST_F(ConfigurationConfirmationTest, ADenialIsConfirmedByTheLogOnceInAWhile) {
+TEST_F(ConfigurationConfirmationTest, LogConfirmationIsReusedUntilItExpires) {
   EXPECT_TRUE(confirm());
   EXPECT_TRUE(confirm());
   EXPECT_EQ(log_reads, 1);
   position.confirmed_at -= std::chrono::seconds(1);
   EXPECT_TRUE(confirm());
   EXPECT_EQ(log_reads, 2);
-  EXPECT_EQ(peer_asks, 0);
+  EXPECT_EQ(peer_queries, 0);
 }
 
-TEST_F(ConfigurationConfirmationTest, WhereTheLogDoesNotAnswerAnotherNodeConfirms) {
+TEST_F(ConfigurationConfirmationTest, AnotherNodeConfirmsIfLogDoesNotRespond) {
   log_status = LogStatus::kUnknown;
   peers_confirm = true;
   EXPECT_TRUE(confirm());
-  EXPECT_EQ(peer_asks, 1);
+  EXPECT_EQ(peer_queries, 1);
   EXPECT_TRUE(confirm());
-  EXPECT_EQ(peer_asks, 1);
+  EXPECT_EQ(peer_queries, 1);
   EXPECT_GT(confirmation.position().confirmed_at, TimePoint{});
 }
 
-TEST_F(ConfigurationConfirmationTest, AnotherNodesWordIsNotPassedOn) {
+TEST_F(ConfigurationConfirmationTest, ConfirmationByPeerIsNotUsedForOtherNodes) {
   log_status = LogStatus::kUnknown;
   peers_confirm = true;
   EXPECT_TRUE(confirm());
   EXPECT_FALSE(run_awaitable(loop, confirmation.confirm_by_log()));
 }
 
-TEST_F(ConfigurationConfirmationTest, WhatNobodyConfirmsIsRefusedAtOnceForAWhile) {
+TEST_F(ConfigurationConfirmationTest, FailsImmediatelyAfterFailedConfirmation) {
   log_status = LogStatus::kNotDone;
   EXPECT_FALSE(confirm());
   EXPECT_FALSE(confirm());
   EXPECT_EQ(log_reads, 1);
-  EXPECT_EQ(peer_asks, 1);
+  EXPECT_EQ(peer_queries, 1);
 }
 
 }  // namespace
--- a/tests/routing/configuration_test.cc
+++ b/tests/routing/configuration_test.cc
@@ -13,7 +13,7 @@
   return route;
 }
 
-TEST(ConfigurationTest, TheLongestPrefixOfTheHostWins) {
+TEST(ConfigurationTest, LongestPrefixOfHostWins) {
   ServingConfiguration configuration;
   configuration.routes = {make_route("short", "a.example", "/x/"),
                           make_route("long", "a.example", "/x/y/"),
@@ -24,12 +24,12 @@
   EXPECT_EQ(configuration.find_route("c.example", "/x/1"), nullptr);
 }
 
-TEST(ConfigurationTest, HostsAreComparedWithoutPortAndCase) {
+TEST(ConfigurationTest, NormalizesHosts) {
   EXPECT_EQ(normalize_host("A.Example:8080"), "a.example");
   EXPECT_EQ(normalize_host("a.example"), "a.example");
 }
 
-TEST(ConfigurationTest, OnlySafeRequestsAndResumableStreamsMayBeRepeated) {
+TEST(ConfigurationTest, OnlySafeRequestsAndResumableStreamsAreRepeatable) {
   Route route;
   route.kind = RouteKind::kUnsafe;
   EXPECT_FALSE(route.repeatable());
