--- a/src/routing/configuration_confirmation.cc
+++ b/src/routing/configuration_confirmation.cc
@@ -35,8 +35,8 @@
   if (is_recent(last_failure_, kFailureBackoff)) co_return false;
   const bool confirmed = co_await confirm_by_log();
   if (confirmed) co_return true;
-  const SharedRead::Read ask = [this] { return ask_peers(); };
-  const LogStatus status = co_await peer_reads_.run(ask, monotonic_now() + kPeersTimeout);
+  const SharedRead::Read query = [this] { return query_peers(); };
+  const LogStatus status = co_await peer_reads_.run(query, monotonic_now() + kPeersTimeout);
   if (status != LogStatus::kOk) last_failure_ = monotonic_now();
   co_return status == LogStatus::kOk;
 }
@@ -48,9 +48,9 @@
   co_return status == LogStatus::kOk;
 }
 
-asio::awaitable<LogStatus> ConfigurationConfirmation::ask_peers() {
+asio::awaitable<LogStatus> ConfigurationConfirmation::query_peers() {
   const TimePoint sent = monotonic_now();
-  const bool confirmed = co_await sources_.ask_peers();
+  const bool confirmed = co_await sources_.query_peers();
   if (!confirmed) co_return LogStatus::kUnknown;
   confirmed_by_peers_ = sent;
   co_return LogStatus::kOk;
--- a/src/routing/configuration_confirmation.h
+++ b/src/routing/configuration_confirmation.h
@@ -19,7 +19,7 @@
   std::function<boost::asio::awaitable<LogStatus>()> read_log;
   /// Queries other nodes and applies the records that they return; returns whether one of them has
   /// read the log.
-  std::function<boost::asio::awaitable<bool>()> ask_peers;
+  std::function<boost::asio::awaitable<bool>()> query_peers;
 };
 
 /// A request that a newer configuration allows must not be denied (401, 404) by an older one, since
@@ -41,7 +41,7 @@
   [[nodiscard]] ConfigurationPosition position() const;
 
  private:
-  boost::asio::awaitable<LogStatus> ask_peers();
+  boost::asio::awaitable<LogStatus> query_peers();
 
   ConfirmationSources sources_;
   SharedRead log_reads_;
--- a/src/routing/peer_use_table.cc
+++ b/src/routing/peer_use_table.cc
@@ -160,12 +160,12 @@
 }
 
 bool PeerUseTable::expire(TimePoint now) {
-  const std::size_t silent = std::erase_if(
+  const std::size_t expired = std::erase_if(
       states_, [now](const auto& entry) { return now - entry.second.received > kDigestLifetime; });
-  if (silent > 0) recount_all();
+  if (expired > 0) recount_all();
   const bool demand = demand_published_;
   if (demand) publish_demand(now);
-  return silent > 0 || demand;
+  return expired > 0 || demand;
 }
 
 /// Whether a use includes batch items at a runner that the request specifies.
--- a/src/routing/slot_loans.cc
+++ b/src/routing/slot_loans.cc
@@ -73,7 +73,8 @@
   Loan& loan = loans_[request.borrower];
   if (request.sequence < loan.sequence) return std::nullopt;
   if (request.sequence == loan.sequence) {
-    // A duplicate. Unless a return has taken this number since, the response is sent again.
+    // Requests and returns never share a sequence number, so this is a duplicate of the newest
+    // request, and the response is sent again.
     return loan.response.sequence == request.sequence ? std::optional(loan.response) : std::nullopt;
   }
   loan.sequence = request.sequence;
--- a/tests/routing/configuration_confirmation_test.cc
+++ b/tests/routing/configuration_confirmation_test.cc
@@ -18,7 +18,7 @@
     if (log_status == LogStatus::kOk) position.confirmed_at = monotonic_now();
     co_return log_status;
   }
-  boost::asio::awaitable<bool> ask_peers() {
+  boost::asio::awaitable<bool> query_peers() {
     ++peer_queries;
     co_return peers_confirm;
   }
@@ -29,8 +29,9 @@
   bool peers_confirm = false;
   int log_reads = 0;
   int peer_queries = 0;
-  ConfigurationConfirmation confirmation{
-      {[this] { return position; }, [this] { return read_log(); }, [this] { return ask_peers(); }}};
+  ConfigurationConfirmation confirmation{{[this] { return position; },
+                                          [this] { return read_log(); },
+                                          [this] { return query_peers(); }}};
 };
 
 TEST_F(ConfigurationConfirmationTest, LogConfirmationIsReusedUntilItExpires) {
