--- a/src/jobs/checkpoint_table.cc
+++ b/src/jobs/checkpoint_table.cc
@@ -2,25 +2,26 @@
 
 namespace stoathold {
 
-bool CheckpointTable::is_newer(const ItemProgress& progress, const Mark& than) {
-  return progress.last_event > than.last_event || progress.failures > than.failures;
+bool CheckpointTable::is_newer(const ItemProgress& progress, const ProgressPosition& position) {
+  return progress.last_event > position.last_event || progress.failures > position.failures;
 }
 
-bool CheckpointTable::is_news(const ItemProgress& progress, const ItemProgress* read) const {
+bool CheckpointTable::is_newer_than_durable(const ItemProgress& progress,
+                                            const ItemProgress* read) const {
   if (read != nullptr && !is_newer(progress, {read->last_event, read->failures})) return false;
-  const auto found = rows_.find({progress.job, progress.item});
-  return found == rows_.end() || is_newer(progress, found->second);
+  const auto found = durable_positions_.find({progress.job, progress.item});
+  return found == durable_positions_.end() || is_newer(progress, found->second);
 }
 
-void CheckpointTable::written(const ItemProgress& progress) {
-  rows_[{progress.job, progress.item}] = {progress.last_event, progress.failures};
+void CheckpointTable::mark_durable(const ItemProgress& progress) {
+  durable_positions_[{progress.job, progress.item}] = {progress.last_event, progress.failures};
 }
 
-void CheckpointTable::forget(const JobKey& job) {
-  const auto first = rows_.lower_bound({job, 0});
+void CheckpointTable::remove_job(const JobKey& job) {
+  const auto first = durable_positions_.lower_bound({job, 0});
   auto last = first;
-  while (last != rows_.end() && last->first.first == job) ++last;
-  rows_.erase(first, last);
+  while (last != durable_positions_.end() && last->first.first == job) ++last;
+  durable_positions_.erase(first, last);
 }
 
 }  // namespace stoathold
--- a/src/jobs/checkpoint_table.h
+++ b/src/jobs/checkpoint_table.h
@@ -16,21 +16,23 @@
  public:
   /// Whether the progress holds more than what is durable.
   /// @param read what this process has read from the log; null: nothing.
-  [[nodiscard]] bool is_news(const ItemProgress& progress, const ItemProgress* read) const;
+  [[nodiscard]] bool is_newer_than_durable(const ItemProgress& progress,
+                                           const ItemProgress* read) const;
   /// The progress has been written.
-  void written(const ItemProgress& progress);
+  void mark_durable(const ItemProgress& progress);
   /// The job is no longer run here.
-  void forget(const JobKey& job);
+  void remove_job(const JobKey& job);
 
  private:
   /// What makes one progress newer than another.
-  struct Mark {
+  struct ProgressPosition {
     std::uint64_t last_event = 0;
     std::uint32_t failures = 0;
   };
-  [[nodiscard]] static bool is_newer(const ItemProgress& progress, const Mark& than);
+  [[nodiscard]] static bool is_newer(const ItemProgress& progress,
+                                     const ProgressPosition& position);
 
-  std::map<std::pair<JobKey, std::uint32_t>, Mark> rows_;
+  std::map<std::pair<JobKey, std::uint32_t>, ProgressPosition> durable_positions_;
 };
 
 }  // namespace stoathold
--- a/src/jobs/held_requests.h
+++ b/src/jobs/held_requests.h
@@ -19,19 +19,19 @@
   void remove(std::uint64_t bytes) { set(bytes_ - bytes); }
   [[nodiscard]] std::uint64_t bytes() const { return bytes_; }
   /// Whether more may be read. One may be held whatever else the process holds: jobs go on.
-  [[nodiscard]] bool has_room() const {
-    return bytes_ == 0 || budget_.has_room(MemoryAccount::kJobRequests, kReadBytes);
+  [[nodiscard]] bool can_read_more() const {
+    return bytes_ == 0 || budget_.has_room(MemoryAccount::kJobRequests, kMaxReadBytes);
   }
 
  private:
   /// Most that one read of requests brings.
-  static constexpr std::uint64_t kReadBytes = 1024UL * 1024;
+  static constexpr std::uint64_t kMaxReadBytes = 1024UL * 1024;
   /// Copies of a request: the item's own, and the one that is written to a runner.
-  static constexpr std::uint64_t kCopies = 2;
+  static constexpr std::uint64_t kCopiesPerRequest = 2;
 
   void set(std::uint64_t bytes) {
     bytes_ = bytes;
-    reservation_.resize(kCopies * bytes);
+    reservation_.resize(kCopiesPerRequest * bytes);
   }
 
   MemoryBudget& budget_;
--- a/src/jobs/item_run.cc
+++ b/src/jobs/item_run.cc
@@ -21,18 +21,18 @@
 
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(500);
 /// A run without an event for so long is taken up at another runner.
-constexpr Duration kFirstEventPatience = std::chrono::milliseconds(4000);
-constexpr Duration kEventGapPatience = std::chrono::milliseconds(1500);
+constexpr Duration kFirstEventTimeout = std::chrono::milliseconds(4000);
+constexpr Duration kEventGapTimeout = std::chrono::milliseconds(1500);
 /// Events over which the time between two of them is measured: runners send some together.
 constexpr std::uint64_t kGapWindowEvents = 10;
 /// After this time without a place the route is looked at anew.
-constexpr Duration kPlacementTime = std::chrono::seconds(2);
+constexpr Duration kPlacementTimeout = std::chrono::seconds(2);
 /// Between looks for a configuration or a route.
-constexpr Duration kRoutePause = std::chrono::milliseconds(100);
+constexpr Duration kRoutePollInterval = std::chrono::milliseconds(100);
 /// Between looks whether an item may reach runners again.
-constexpr Duration kQuarantinePause = std::chrono::seconds(1);
+constexpr Duration kQuarantinePollInterval = std::chrono::seconds(1);
 /// A route must be missing this long before its items are given up.
-constexpr Duration kRouteGrace = std::chrono::seconds(5);
+constexpr Duration kMissingRouteGracePeriod = std::chrono::seconds(5);
 /// Load up to which a runner is given items. Online work takes their slots back within
 /// milliseconds, so little is kept free for it.
 constexpr double kBatchLoadLimit = 0.85;
@@ -71,7 +71,7 @@
   timer_.cancel();
 }
 
-asio::awaitable<void> ItemRun::pause(Duration duration) {
+asio::awaitable<void> ItemRun::sleep_for(Duration duration) {
   if (stopped_) co_return;
   timer_.expires_after(duration);
   co_await timer_.async_wait(asio::as_tuple(asio::use_awaitable));
@@ -91,14 +91,14 @@
 
 ItemSchedule ItemRun::schedule() const {
   ItemSchedule schedule{.objective = objective_, .age = age()};
-  schedule.rest = context_.answer_pace.expected_rest(route_name_, answer_tokens_,
-                                                     EventCount{progress_.last_event});
-  const bool uneven = runner_ && context_.load_policy.knows_speeds;
-  if (uneven) schedule.rest = scale(schedule.rest, runner_->speed().relative_time());
+  schedule.remaining = context_.answer_pace.expected_rest(route_name_, answer_tokens_,
+                                                          EventCount{progress_.last_event});
+  const bool use_speed = runner_ && context_.load_policy.knows_speeds;
+  if (use_speed) schedule.remaining = scale(schedule.remaining, runner_->speed().relative_time());
   return schedule;
 }
 
-asio::awaitable<std::shared_ptr<Runner>> ItemRun::place(const Route& route) {
+asio::awaitable<std::shared_ptr<Runner>> ItemRun::acquire_runner(const Route& route) {
   const TimePoint now = monotonic_now();
   route_name_ = route.name;
   objective_ = route.completion_objective;
@@ -122,46 +122,46 @@
   request.priority = route.priority;
   request.tenant = item_.tenant;
   request.route = route.name;
-  request.slot_time = schedule.rest;
+  request.slot_time = schedule.remaining;
   // Who must begin first goes first, and what will be late anyway goes last.
   request.due = schedule.objective.count() > 0 ? now + schedule.slack() : TimePoint::max();
-  request.give_up = now + kPlacementTime;
-  const WaitTurn turn = take_turn(request, schedule);
+  request.give_up = now + kPlacementTimeout;
+  const QueueEntry entry = join_queue(request, schedule);
   request.hopeless = [this] { return quarantine_check_.is_quarantined(); };
   ticket_ = context_.placement.make_ticket(std::move(request));
   const auto runner = co_await context_.placement.acquire(ticket_);
-  if (turn.waits) context_.batch_turns.end_wait(turn.service, turn.urgency);
+  if (entry.active) context_.batch_turns.end_wait(entry.service, entry.urgency);
   const Selection choice = ticket_->selection();
   tokens_to_read_ = choice.tokens_to_read;
   runner_work_ = choice.runner_work();
   ticket_.reset();
-  if (runner) log_choice(choice, schedule);
+  if (runner) log_selection(choice, schedule);
   if (runner) context_.start_progress.reached(StartStep::kFirstItemPlaced, monotonic_now());
   co_return runner;
 }
 
-ItemRun::WaitTurn ItemRun::take_turn(PlacementRequest& request, const ItemSchedule& schedule) {
+ItemRun::QueueEntry ItemRun::join_queue(PlacementRequest& request, const ItemSchedule& schedule) {
   if (!context_.load_policy.deals_batch) return {};
   BatchTurns& turns = context_.batch_turns;
-  const WaitTurn turn{.waits = true,
-                      .service = stable_hash(request.selection.service),
-                      .urgency = schedule.late() ? ItemUrgency::kLate : ItemUrgency::kInTime};
+  const QueueEntry entry{.active = true,
+                         .service = stable_hash(request.selection.service),
+                         .urgency = schedule.late() ? ItemUrgency::kLate : ItemUrgency::kInTime};
   request.selection.turns = &turns;
-  request.selection.urgency = turn.urgency;
-  turns.begin_wait(turn.service, turn.urgency);
-  return turn;
+  request.selection.urgency = entry.urgency;
+  turns.begin_wait(entry.service, entry.urgency);
+  return entry;
 }
 
 /// The item goes to runners where it has not failed yet, as long as there are any.
 std::vector<std::uint64_t> ItemRun::runners_to_avoid(const std::string& service) const {
-  const bool others = failed_at_.size() < context_.runners.of_service(service).size();
-  return others ? failed_at_ : std::vector<std::uint64_t>{};
+  const bool has_others = failed_runners_.size() < context_.runners.of_service(service).size();
+  return has_others ? failed_runners_ : std::vector<std::uint64_t>{};
 }
 
-void ItemRun::log_choice(const Selection& choice, const ItemSchedule& schedule) {
-  const bool again = sends_++ > 0;
+void ItemRun::log_selection(const Selection& choice, const ItemSchedule& schedule) {
+  const bool is_retry = send_count_++ > 0;
   choice_ = choice_text(choice, monotonic_now());
-  log_event(again ? Event::kRequestSentAgain : Event::kRequestSent,
+  log_event(is_retry ? Event::kRequestSentAgain : Event::kRequestSent,
             {{"job", item_.job},
              {"item", item_.item_id},
              {"runner", choice.runner->record().id},
@@ -186,15 +186,15 @@
 
 /// An error of a runner that fails much of what it is given says nothing about the item. Errors at
 /// other runners do; and there is a bound on how often an item may fail at all.
-bool ItemRun::has_failed_for_good(const Route& route) const {
+bool ItemRun::has_exhausted_attempts(const Route& route) const {
   if (progress_.failures >= kMaxFailuresPerAttempt * route.max_attempts) return true;
   const TimePoint now = monotonic_now();
-  std::uint32_t excused = 0;
-  for (const std::uint64_t start : failed_at_) {
-    const Runner* runner = context_.runners.find_hash(start);
-    if (runner != nullptr && runner->suspect(now)) ++excused;
+  std::uint32_t excused_failures = 0;
+  for (const std::uint64_t runner_hash : failed_runners_) {
+    const Runner* runner = context_.runners.find_hash(runner_hash);
+    if (runner != nullptr && runner->suspect(now)) ++excused_failures;
   }
-  return progress_.failures - excused >= route.max_attempts;
+  return progress_.failures - excused_failures >= route.max_attempts;
 }
 
 asio::awaitable<std::optional<ItemResult>> ItemRun::run() {
@@ -208,28 +208,28 @@
     if (route == nullptr || route->kind != RouteKind::kBatch) {
       const TimePoint now = monotonic_now();
       if (!route_missing_since) route_missing_since = now;
-      enter(ItemStage::kBackingOff);
-      if (configuration && now - *route_missing_since > kRouteGrace) {
+      set_stage(ItemStage::kBackingOff);
+      if (configuration && now - *route_missing_since > kMissingRouteGracePeriod) {
         const bool confirmed = co_await context_.confirm_configuration();
-        const bool gone = confirmed && context_.configuration == configuration;
-        if (gone) co_return make_result(ItemState::kDeadLettered);
+        const bool is_removed = confirmed && context_.configuration == configuration;
+        if (is_removed) co_return make_result(ItemState::kDeadLettered);
       }
-      co_await pause(kRoutePause);
+      co_await sleep_for(kRoutePollInterval);
       continue;
     }
     route_missing_since.reset();
     if (is_expired(*route)) co_return make_result(ItemState::kDeadLettered);
     if (quarantine_check_.is_quarantined()) {
       // Given up when its retention is over, as an item that no runner can do.
-      enter(ItemStage::kQuarantined);
-      co_await pause(kQuarantinePause);
+      set_stage(ItemStage::kQuarantined);
+      co_await sleep_for(kQuarantinePollInterval);
       continue;
     }
-    enter(ItemStage::kWaitingForSlot);
-    const auto runner = co_await place(*route);
+    set_stage(ItemStage::kWaitingForSlot);
+    const auto runner = co_await acquire_runner(*route);
     if (!runner) continue;
     const std::uint64_t events_before = progress_.last_event;
-    enter(ItemStage::kRunning);
+    set_stage(ItemStage::kRunning);
     const AttemptResult result = co_await attempt(runner);
     context_.placement.capacity_changed();
     ++context_.metrics.batch_items[std::string(to_string(result))];
@@ -237,13 +237,13 @@
     if (result == AttemptResult::kImpossible) co_return make_result(ItemState::kDeadLettered);
     if (result == AttemptResult::kFailed) {
       ++progress_.failures;
-      failed_at_.push_back(runner->hash());
-      if (has_failed_for_good(*route)) co_return make_result(ItemState::kDeadLettered);
+      failed_runners_.push_back(runner->hash());
+      if (has_exhausted_attempts(*route)) co_return make_result(ItemState::kDeadLettered);
     }
     if (progress_.last_event > events_before) backoff.reset();
     if (result == AttemptResult::kYielded) continue;
-    enter(ItemStage::kBackingOff);
-    if (!stopped_) co_await pause(backoff.next());
+    set_stage(ItemStage::kBackingOff);
+    if (!stopped_) co_await sleep_for(backoff.next());
   }
   co_return std::nullopt;
 }
@@ -277,7 +277,7 @@
   const RunnerHold hold(runner, prompt_.tokens);
   const auto upstream = std::make_shared<UpstreamExchange>(context_.pool);
   upstream_ = upstream;
-  upstream->set_deadline(monotonic_now() + kFirstEventPatience);
+  upstream->set_deadline(monotonic_now() + kFirstEventTimeout);
   runner_ = runner;
   placed_at_ = monotonic_now();
   yielding_ = false;
@@ -288,7 +288,7 @@
   if (status == UpstreamStatus::kOk) status = co_await upstream->read_head();
   if (status == UpstreamStatus::kOk) {
     stage_ = RunStage::kBegun;
-    result = co_await take_answer(*runner);
+    result = co_await read_answer(*runner);
   }
   if (yielding_ && result != AttemptResult::kCompleted) result = AttemptResult::kYielded;
   if (stopped_) result = AttemptResult::kStopped;
@@ -306,21 +306,21 @@
        .progressed = stage_ == RunStage::kDelivering,
        .closed_by_runner = result == AttemptResult::kBroken && upstream->closed_by_runner()});
   upstream_.reset();
-  note_attempt(*runner, result);
+  record_attempt(*runner, result);
   co_return result;
 }
 
 /// An item that fails everywhere is evidence against a runner once, however often it is tried
 /// there.
-AttemptOutcome ItemRun::evidence_against(const Runner& runner, AttemptResult result) const {
-  const bool failed_before =
-      std::find(failed_at_.begin(), failed_at_.end(), runner.hash()) != failed_at_.end();
+AttemptOutcome ItemRun::attempt_outcome(const Runner& runner, AttemptResult result) const {
+  const bool failed_before = std::find(failed_runners_.begin(), failed_runners_.end(),
+                                       runner.hash()) != failed_runners_.end();
   const bool repeated = result == AttemptResult::kFailed && failed_before;
   return repeated ? AttemptOutcome::kAbandoned : evidence_of(result);
 }
 
-void ItemRun::note_attempt(Runner& runner, AttemptResult result) {
-  runner.end_attempt(evidence_against(runner, result), monotonic_now(),
+void ItemRun::record_attempt(Runner& runner, AttemptResult result) {
+  runner.end_attempt(attempt_outcome(runner, result), monotonic_now(),
                      std::exchange(tokens_to_read_, 0), WorkClass::kBatch);
   if (result == AttemptResult::kCompleted) return;
   log_event(Event::kItemAttemptFailed, {{"job", item_.job},
@@ -334,7 +334,7 @@
                                         {"last_event", std::to_string(progress_.last_event)}});
 }
 
-asio::awaitable<AttemptResult> ItemRun::take_answer(Runner& runner) {
+asio::awaitable<AttemptResult> ItemRun::read_answer(Runner& runner) {
   const UpstreamHead& head = upstream_->head();
   note_answer(context_, runner, head, tokens_to_read_);
   constexpr int kOk = 200;
@@ -343,12 +343,12 @@
   if (was_not_run(runner, head, context_.dialect)) co_return AttemptResult::kNotRun;
   if (head.status == kUnprocessable) co_return AttemptResult::kImpossible;
   if (head.status == kServerError) co_return AttemptResult::kFailed;
-  const bool spoiled = head.status != kOk || lacks_proof(head, context_.dialect);
-  if (spoiled) co_return AttemptResult::kBroken;
-  co_return co_await take_events();
+  const bool is_invalid = head.status != kOk || lacks_proof(head, context_.dialect);
+  if (is_invalid) co_return AttemptResult::kBroken;
+  co_return co_await read_events();
 }
 
-void ItemRun::note_first_event() {
+void ItemRun::record_first_event() {
   if (stage_ == RunStage::kDelivering) return;
   stage_ = RunStage::kDelivering;
   if (!context_.load_policy.knows_speeds) return;
@@ -357,7 +357,7 @@
                                       now - placed_at_, now);
 }
 
-void ItemRun::note_event_gap(EventGapWindow& window) {
+void ItemRun::record_event_gap(EventGapWindow& window) {
   const TimePoint now = monotonic_now();
   const auto gap = window.advance(progress_.last_event, now);
   if (!gap) return;
@@ -367,7 +367,7 @@
                               now);
 }
 
-asio::awaitable<AttemptResult> ItemRun::take_events() {
+asio::awaitable<AttemptResult> ItemRun::read_events() {
   EventFramer framer;
   std::string_view view;
   EventGapWindow window(kGapWindowEvents);
@@ -376,7 +376,7 @@
     if (status != UpstreamStatus::kOk) co_return AttemptResult::kBroken;
     if (view.empty()) break;
     runner_->heard(monotonic_now());
-    upstream_->set_deadline(monotonic_now() + kEventGapPatience);
+    upstream_->set_deadline(monotonic_now() + kEventGapTimeout);
     if (!framer.feed(view)) co_return AttemptResult::kBroken;
     while (const auto event = framer.next()) {
       if (!event->id) continue;
@@ -384,14 +384,14 @@
       if (progress_.last_event > 0) progress_.text.push_back('\n');
       progress_.text += event_data(event->raw);
       progress_.last_event = *event->id;
-      note_first_event();
+      record_first_event();
     }
-    note_event_gap(window);
+    record_event_gap(window);
   }
   // The end of a connection proves nothing: the stream may have been cut between two events.
-  const bool proved = upstream_->head().framing != BodyFraming::kUntilClose;
-  const bool whole = framer.rest().empty() && progress_.last_event > 0;
-  if (!whole || !proved) co_return AttemptResult::kBroken;
+  const bool has_explicit_end = upstream_->head().framing != BodyFraming::kUntilClose;
+  const bool is_complete = framer.rest().empty() && progress_.last_event > 0;
+  if (!is_complete || !has_explicit_end) co_return AttemptResult::kBroken;
   context_.answer_pace.observe_answer(route_name_, answer_tokens_,
                                       EventCount{progress_.last_event});
   co_return AttemptResult::kCompleted;
--- a/src/jobs/item_run.h
+++ b/src/jobs/item_run.h
@@ -66,33 +66,33 @@
   }
 
  private:
-  void enter(ItemStage stage) const {
+  void set_stage(ItemStage stage) const {
     if (stage_listener_) stage_listener_(stage);
   }
   boost::asio::awaitable<AttemptResult> attempt(std::shared_ptr<Runner> runner);
-  boost::asio::awaitable<AttemptResult> take_answer(Runner& runner);
-  boost::asio::awaitable<AttemptResult> take_events();
-  void note_first_event();
-  void note_event_gap(EventGapWindow& window);
+  boost::asio::awaitable<AttemptResult> read_answer(Runner& runner);
+  boost::asio::awaitable<AttemptResult> read_events();
+  void record_first_event();
+  void record_event_gap(EventGapWindow& window);
   [[nodiscard]] Duration age() const;
-  boost::asio::awaitable<void> pause(Duration duration);
+  boost::asio::awaitable<void> sleep_for(Duration duration);
   [[nodiscard]] UpstreamRequest build_request(const Runner& runner) const;
-  boost::asio::awaitable<std::shared_ptr<Runner>> place(const Route& route);
+  boost::asio::awaitable<std::shared_ptr<Runner>> acquire_runner(const Route& route);
   /// Its wait among those of all nodes of the zone.
-  struct WaitTurn {
-    bool waits = false;  ///< Nodes take turns.
+  struct QueueEntry {
+    bool active = false;  ///< Nodes take turns.
     std::uint64_t service = 0;
     ItemUrgency urgency = ItemUrgency::kInTime;
   };
   /// Begins to wait among them, and fills in what follows for the request.
-  WaitTurn take_turn(PlacementRequest& request, const ItemSchedule& schedule);
+  QueueEntry join_queue(PlacementRequest& request, const ItemSchedule& schedule);
   [[nodiscard]] bool is_expired(const Route& route) const;
   [[nodiscard]] ItemResult make_result(ItemState state) const;
   [[nodiscard]] std::vector<std::uint64_t> runners_to_avoid(const std::string& service) const;
-  [[nodiscard]] bool has_failed_for_good(const Route& route) const;
-  void log_choice(const Selection& choice, const ItemSchedule& schedule);
-  [[nodiscard]] AttemptOutcome evidence_against(const Runner& runner, AttemptResult result) const;
-  void note_attempt(Runner& runner, AttemptResult result);
+  [[nodiscard]] bool has_exhausted_attempts(const Route& route) const;
+  void log_selection(const Selection& choice, const ItemSchedule& schedule);
+  [[nodiscard]] AttemptOutcome attempt_outcome(const Runner& runner, AttemptResult result) const;
+  void record_attempt(Runner& runner, AttemptResult result);
 
   GatewayContext& context_;
   ItemContext item_;
@@ -109,10 +109,10 @@
   std::shared_ptr<UpstreamExchange> upstream_;
   std::shared_ptr<Runner> runner_;
   TimePoint placed_at_{};
-  std::uint32_t sends_ = 0;
+  std::uint32_t send_count_ = 0;
   RunStage stage_ = RunStage::kWaiting;  ///< Of the current attempt.
   /// Starts of runners that answered this run with an error of their own, by `Runner::hash`.
-  std::vector<std::uint64_t> failed_at_;
+  std::vector<std::uint64_t> failed_runners_;
   std::string choice_;      ///< What decided the current attempt's runner, for logs.
   RunnerWork runner_work_;  ///< What decides the times of its answer.
   bool yielding_ = false;
--- a/src/jobs/item_schedule.h
+++ b/src/jobs/item_schedule.h
@@ -11,10 +11,10 @@
 struct ItemSchedule {
   Duration objective{0};  ///< From the job's submission until the item is due; 0: never due.
   Duration age{0};        ///< Of the job.
-  Duration rest{0};       ///< What the rest of the item is expected to take at a runner.
+  Duration remaining{0};  ///< What the rest of the item is expected to take at a runner.
 
   /// Time that the item can still lose and be in time; negative if it will be late.
-  [[nodiscard]] Duration slack() const { return objective - age - rest; }
+  [[nodiscard]] Duration slack() const { return objective - age - remaining; }
   /// Whether it cannot be in time any more.
   [[nodiscard]] bool late() const { return objective.count() > 0 && slack() < Duration{0}; }
 };
--- a/src/jobs/item_stage_log.cc
+++ b/src/jobs/item_stage_log.cc
@@ -14,15 +14,15 @@
 namespace asio = boost::asio;
 
 /// Between two lines: an item that stands still for as long as its objective has several.
-constexpr Duration kLineInterval = std::chrono::seconds(5);
+constexpr Duration kLogInterval = std::chrono::seconds(5);
 
 }  // namespace
 
 ItemStageLog::ItemStageLog(asio::any_io_executor executor, const ItemStages& stages,
-                           ItemIds item_ids)
-    : executor_(std::move(executor)), stages_(stages), item_ids_(std::move(item_ids)) {}
+                           ItemIdLookup item_id_lookup)
+    : executor_(std::move(executor)), stages_(stages), item_id_lookup_(std::move(item_id_lookup)) {}
 
-void ItemStageLog::write_line() const {
+void ItemStageLog::log_summary() const {
   const StageSummary summary = stages_.summary(monotonic_now());
   if (!summary.oldest) return;
   const OldestItem& oldest = *summary.oldest;
@@ -31,18 +31,18 @@
              {"jobs_queued", std::to_string(summary.jobs_queued)},
              {"stages", stages_text(summary)},
              {"job", oldest.job},
-             {"item", oldest.index ? item_ids_(oldest.job, *oldest.index) : std::string()},
+             {"item", oldest.index ? item_id_lookup_(oldest.job, *oldest.index) : std::string()},
              {"stage", std::string(to_string(oldest.stage))},
              {"stage_ms", milliseconds_text(oldest.time_in_stage)},
-             {"here_ms", milliseconds_text(oldest.time_here)}});
+             {"here_ms", milliseconds_text(oldest.time_on_node)}});
 }
 
 asio::awaitable<void> ItemStageLog::run(std::function<bool()> running) const {
   Timer timer(executor_);
   while (running()) {
-    timer.expires_after(kLineInterval);
+    timer.expires_after(kLogInterval);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    write_line();
+    log_summary();
   }
 }
 
--- a/src/jobs/item_stage_log.h
+++ b/src/jobs/item_stage_log.h
@@ -15,19 +15,20 @@
 class ItemStageLog {
  public:
   /// Returns the id of an item by its job and index.
-  using ItemIds = std::function<std::string(const JobKey&, std::uint32_t)>;
+  using ItemIdLookup = std::function<std::string(const JobKey&, std::uint32_t)>;
 
-  ItemStageLog(boost::asio::any_io_executor executor, const ItemStages& stages, ItemIds item_ids);
+  ItemStageLog(boost::asio::any_io_executor executor, const ItemStages& stages,
+               ItemIdLookup item_id_lookup);
 
   /// Goes on for as long as `running` holds.
   boost::asio::awaitable<void> run(std::function<bool()> running) const;
 
  private:
-  void write_line() const;
+  void log_summary() const;
 
   boost::asio::any_io_executor executor_;
   const ItemStages& stages_;
-  ItemIds item_ids_;
+  ItemIdLookup item_id_lookup_;
 };
 
 }  // namespace stoathold
--- a/src/jobs/item_stages.cc
+++ b/src/jobs/item_stages.cc
@@ -9,14 +9,16 @@
 
 /// Counts items that have been in a stage for a time.
 void count(StageSummary& summary, ItemStage stage, std::size_t items, Duration time_in_stage) {
-  StageCount& counted = summary.stages[static_cast<std::size_t>(stage)];
-  counted.items += items;
-  counted.oldest = std::max(counted.oldest, time_in_stage);
+  StageCount& stage_count = summary.stages[static_cast<std::size_t>(stage)];
+  stage_count.items += items;
+  stage_count.oldest = std::max(stage_count.oldest, time_in_stage);
   summary.open_items += items;
 }
 
-void keep_older(std::optional<OldestItem>& oldest, const OldestItem& item) {
-  const auto age = [](const OldestItem& of) { return std::pair(of.time_here, of.time_in_stage); };
+void update_oldest(std::optional<OldestItem>& oldest, const OldestItem& item) {
+  const auto age = [](const OldestItem& of) {
+    return std::pair(of.time_on_node, of.time_in_stage);
+  };
   if (!oldest || age(item) > age(*oldest)) oldest = item;
 }
 
@@ -46,12 +48,12 @@
 
 std::string stages_text(const StageSummary& summary) {
   std::string text;
-  for (std::size_t i = 0; i < kItemStages; ++i) {
-    const StageCount& counted = summary.stages[i];
-    if (counted.items == 0) continue;
+  for (std::size_t i = 0; i < kItemStageCount; ++i) {
+    const StageCount& stage_count = summary.stages[i];
+    if (stage_count.items == 0) continue;
     if (!text.empty()) text += ",";
     text += std::string(to_string(static_cast<ItemStage>(i))) + "=" +
-            std::to_string(counted.items) + "/" + decimal_text(to_seconds(counted.oldest));
+            std::to_string(stage_count.items) + "/" + decimal_text(to_seconds(stage_count.oldest));
   }
   return text;
 }
@@ -60,7 +62,7 @@
   jobs_[job] = {.since = now, .unread_items = items, .read = false, .items = {}};
 }
 
-void ItemStages::job_read(const JobKey& job) {
+void ItemStages::mark_job_read(const JobKey& job) {
   const auto found = jobs_.find(job);
   if (found == jobs_.end()) return;
   found->second.read = true;
@@ -74,28 +76,29 @@
   if (!added && row->second.stage != stage) row->second = {stage, now};
 }
 
-void ItemStages::leave(const JobKey& job, std::uint32_t index) {
+void ItemStages::remove_item(const JobKey& job, std::uint32_t index) {
   const auto found = jobs_.find(job);
   if (found != jobs_.end()) found->second.items.erase(index);
 }
 
-void ItemStages::forget(const JobKey& job) {
+void ItemStages::remove_job(const JobKey& job) {
   jobs_.erase(job);
 }
 
 StageSummary ItemStages::summary(TimePoint now) const {
   StageSummary summary;
   for (const auto& [key, job] : jobs_) {
-    const Duration here = now - job.since;
+    const Duration time_on_node = now - job.since;
     if (!job.read) {
       ++summary.jobs_queued;
-      count(summary, ItemStage::kJobQueued, job.unread_items, here);
-      keep_older(summary.oldest, {key, std::nullopt, ItemStage::kJobQueued, here, here});
+      count(summary, ItemStage::kJobQueued, job.unread_items, time_on_node);
+      update_oldest(summary.oldest,
+                    {key, std::nullopt, ItemStage::kJobQueued, time_on_node, time_on_node});
     }
     for (const auto& [index, row] : job.items) {
       const Duration time_in_stage = now - row.since;
       count(summary, row.stage, 1, time_in_stage);
-      keep_older(summary.oldest, {key, index, row.stage, time_in_stage, here});
+      update_oldest(summary.oldest, {key, index, row.stage, time_in_stage, time_on_node});
     }
   }
   return summary;
--- a/src/jobs/item_stages.h
+++ b/src/jobs/item_stages.h
@@ -28,7 +28,7 @@
 };
 
 /// Stages that there are.
-inline constexpr std::size_t kItemStages = 8;
+inline constexpr std::size_t kItemStageCount = 8;
 
 /// Returns the stage's name for logs and metrics.
 std::string_view to_string(ItemStage stage);
@@ -46,12 +46,12 @@
   std::optional<std::uint32_t> index;  ///< Empty: the whole job.
   ItemStage stage = ItemStage::kJobQueued;
   Duration time_in_stage{0};
-  Duration time_here{0};  ///< Since this node took the job up.
+  Duration time_on_node{0};  ///< Since this node took the job up.
 };
 
 /// All open items at one moment.
 struct StageSummary {
-  std::array<StageCount, kItemStages> stages{};
+  std::array<StageCount, kItemStageCount> stages{};
   std::size_t jobs_queued = 0;  ///< Whole jobs that are not read yet.
   std::size_t open_items = 0;
   std::optional<OldestItem> oldest;
@@ -70,13 +70,13 @@
   /// A job was taken up; its items wait until it is read.
   void add_job(const JobKey& job, std::size_t items, TimePoint now);
   /// A job was read; its open items are entered one by one.
-  void job_read(const JobKey& job);
+  void mark_job_read(const JobKey& job);
   /// An item of a job that was added came to a stage; the time in it goes on if it was there.
   void enter(const JobKey& job, std::uint32_t index, ItemStage stage, TimePoint now);
   /// An item is no longer open.
-  void leave(const JobKey& job, std::uint32_t index);
+  void remove_item(const JobKey& job, std::uint32_t index);
   /// A job is no longer run here.
-  void forget(const JobKey& job);
+  void remove_job(const JobKey& job);
 
   [[nodiscard]] bool empty() const { return jobs_.empty(); }
   [[nodiscard]] StageSummary summary(TimePoint now) const;
--- a/src/jobs/job_data_log.cc
+++ b/src/jobs/job_data_log.cc
@@ -14,25 +14,26 @@
 
 /// Reads of results and requests by key under way at once, of callers and of the node's own jobs
 /// together. With as many as there were callers, none of 8 came through on 30 Mbit/s.
-constexpr int kMaxReadsByKey = 3;
+constexpr int kMaxConcurrentKeyReads = 3;
 /// Bytes asked for beyond those of the requests themselves.
-constexpr std::uint64_t kReadSlackBytes = 1024;
+constexpr std::uint64_t kReadMarginBytes = 1024;
 /// Most bytes of requests in one append, but for a larger request alone; most jobs fit.
-constexpr std::uint64_t kRequestAppendBytes = 512UL * 1024;
+constexpr std::uint64_t kMaxRequestAppendBytes = 512UL * 1024;
 /// Bytes of a listing with the framings of its record and of its text's.
 constexpr std::uint64_t kListingBytes = 2 * kRecordFramingBytes;
 /// Keys deleted by one append; each takes some 80 bytes.
 constexpr std::size_t kDeletionsPerAppend = 500;
 
 /// Puts the pieces of an item's request together; nothing if one is missing or cannot be read.
-std::optional<ItemRequest> assemble(const std::map<std::string, std::string>& pieces,
-                                    const JobKey& key, const JobSubmission& submission,
-                                    std::uint32_t index) {
+std::optional<ItemRequest> assemble_request(const std::map<std::string, std::string>& chunks,
+                                            const JobKey& key, const JobSubmission& submission,
+                                            std::uint32_t index) {
   const JobItem& item = submission.items[index];
   std::string encoded;
-  for (std::uint32_t piece = 0; piece < item.body_records; ++piece) {
-    const auto found = pieces.find(body_record_key(key, submission.request_writer, index, piece));
-    if (found == pieces.end()) return std::nullopt;
+  for (std::uint32_t chunk = 0; chunk < item.request_records; ++chunk) {
+    const auto found =
+        chunks.find(request_record_key(key, submission.request_writer, index, chunk));
+    if (found == chunks.end()) return std::nullopt;
     encoded += found->second;
   }
   ItemRequest request;
@@ -40,13 +41,13 @@
 }
 
 /// The keys of the requests from one item to another.
-KeyRange body_key_range(const JobKey& key, const JobSubmission& submission, std::uint32_t first,
-                        std::uint32_t last) {
+KeyRange request_key_range(const JobKey& key, const JobSubmission& submission, std::uint32_t first,
+                           std::uint32_t last) {
   const std::string& writer = submission.request_writer;
   KeyRange range;
-  range.after = body_record_key(key, writer, first, 0);
+  range.after = request_record_key(key, writer, first, 0);
   range.after.pop_back();
-  range.through = body_record_key(key, writer, last, submission.items[last].body_records - 1);
+  range.through = request_record_key(key, writer, last, submission.items[last].request_records - 1);
   return range;
 }
 
@@ -56,8 +57,8 @@
     : executor_(std::move(executor)),
       log_(log),
       retries_(retries),
-      append_size_(kRequestAppendBytes),
-      turns_(kMaxReadsByKey) {}
+      append_size_(kMaxRequestAppendBytes),
+      key_read_turns_(kMaxConcurrentKeyReads) {}
 
 PartitionName JobDataLog::partition_of(JobData data, const JobKey& key,
                                        std::uint32_t topics) const {
@@ -68,23 +69,23 @@
                                                   const std::vector<ItemRequest>& requests,
                                                   std::size_t first) const {
   const LogLimits& limits = log_.limits();
-  const std::uint64_t piece_bytes = limits.record_bytes - kRecordFramingBytes;
-  const std::uint64_t most = std::min(limits.call_bytes, append_size_.bytes());
+  const std::uint64_t chunk_bytes = limits.record_bytes - kRecordFramingBytes;
+  const std::uint64_t max_bytes = std::min(limits.call_bytes, append_size_.bytes());
   RequestAppend append;
   // As many whole items as fit; a larger one goes alone.
   for (std::size_t index = first; index < submission.items.size(); ++index) {
     const std::string request = encode(requests[index]);
-    const std::uint64_t pieces = (request.size() + piece_bytes - 1) / piece_bytes;
-    const std::uint64_t size = request.size() + pieces * kRecordFramingBytes;
-    if (!append.records.empty() && append.bytes + size > most) break;
+    const std::uint64_t chunks = (request.size() + chunk_bytes - 1) / chunk_bytes;
+    const std::uint64_t size = request.size() + chunks * kRecordFramingBytes;
+    if (!append.records.empty() && append.bytes + size > max_bytes) break;
     append.first_records.push_back(append.records.size());
     JobItem& item = submission.items[index];
-    item.body_bytes = size;
-    item.body_records = static_cast<std::uint32_t>(pieces);
-    for (std::uint32_t piece = 0; piece < pieces; ++piece) {
-      append.records.push_back({body_record_key(key, submission.request_writer,
-                                                static_cast<std::uint32_t>(index), piece),
-                                request.substr(piece * piece_bytes, piece_bytes)});
+    item.request_bytes = size;
+    item.request_records = static_cast<std::uint32_t>(chunks);
+    for (std::uint32_t chunk = 0; chunk < chunks; ++chunk) {
+      append.records.push_back({request_record_key(key, submission.request_writer,
+                                                   static_cast<std::uint32_t>(index), chunk),
+                                request.substr(chunk * chunk_bytes, chunk_bytes)});
     }
     append.bytes += size;
   }
@@ -94,7 +95,7 @@
 asio::awaitable<LogStatus> JobDataLog::append_requests(JobKey key, JobSubmission& submission,
                                                        const std::vector<ItemRequest>& requests,
                                                        TimePoint deadline) {
-  const PartitionName partition = partition_of(JobData::kBodies, key, submission.data_topics);
+  const PartitionName partition = partition_of(JobData::kRequests, key, submission.data_topics);
   Backoff backoff(retries_);
   Timer timer(executor_);
   std::size_t next = 0;
@@ -107,7 +108,7 @@
     if (result.status == LogStatus::kOk) {
       backoff.reset();
       for (const std::size_t first_record : append.first_records) {
-        submission.items[next++].body_offset = result.offset + first_record;
+        submission.items[next++].request_offset = result.offset + first_record;
       }
       continue;
     }
@@ -121,13 +122,13 @@
 
 JobDataLog::RequestSpan JobDataLog::first_span(const JobSubmission& submission,
                                                const std::vector<std::uint32_t>& wanted,
-                                               std::uint64_t most_bytes) {
+                                               std::uint64_t max_bytes) {
   RequestSpan span;
   std::uint64_t bytes = 0;
   std::uint32_t next = wanted.front();
   for (const std::uint32_t index : wanted) {
-    while (next <= index) bytes += submission.items[next++].body_bytes;
-    if (!span.items.empty() && bytes > most_bytes) break;
+    while (next <= index) bytes += submission.items[next++].request_bytes;
+    if (!span.items.empty() && bytes > max_bytes) break;
     span.items.push_back(index);
     span.bytes = bytes;
   }
@@ -141,27 +142,27 @@
   const auto& items = submission.items;
   const std::uint32_t first = span.items.front();
   const std::uint32_t last = span.items.back();
-  const PartitionName partition = partition_of(JobData::kBodies, key, submission.data_topics);
-  ReadResult read = co_await log_.read(partition, items[first].body_offset,
-                                       span.bytes + kReadSlackBytes, Duration{0});
+  const PartitionName partition = partition_of(JobData::kRequests, key, submission.data_topics);
+  ReadResult read = co_await log_.read(partition, items[first].request_offset,
+                                       span.bytes + kReadMarginBytes, Duration{0});
   const bool by_key = read.status == LogStatus::kTruncated;
   if (by_key) {
-    const KeyRange range = body_key_range(key, submission, first, last);
-    const ReadTurns::Turn turn = co_await turns_.take();
+    const KeyRange range = request_key_range(key, submission, first, last);
+    const ReadTurns::Turn turn = co_await key_read_turns_.take();
     read = co_await log_.read_newest(partition, range, bounds.patience);
   }
   RequestsRead result;
   result.status = read.status;
   if (read.status != LogStatus::kOk) co_return result;
-  std::map<std::string, std::string> pieces;
-  for (auto& record : read.records) pieces.emplace(std::move(record.key), std::move(record.value));
+  std::map<std::string, std::string> chunks;
+  for (auto& record : read.records) chunks.emplace(std::move(record.key), std::move(record.value));
   for (const std::uint32_t index : span.items) {
-    auto request = assemble(pieces, key, submission, index);
+    auto request = assemble_request(chunks, key, submission, index);
     if (request) {
       result.found.emplace(index, std::move(*request));
     } else if (by_key || index == first) {
       // Read by offset, the records of other jobs may have pushed the later ones out of the read.
-      result.absent.push_back(index);
+      result.missing.push_back(index);
     }
   }
   co_return result;
@@ -182,7 +183,7 @@
     count_results(records);
     if (result.records.status != LogStatus::kTruncated) co_return result;
   }
-  const ReadTurns::Turn turn = co_await turns_.take();
+  const ReadTurns::Turn turn = co_await key_read_turns_.take();
   // Pages that were read earlier tell of the end as it was then.
   result.at_end = !newest.begun();
   result.records = co_await newest.run(log_, partition, unread, bounds.patience);
@@ -199,7 +200,7 @@
 }
 
 asio::awaitable<ReadResult> JobDataLog::read_texts(PartitionName partition,
-                                                   std::vector<ListedResult::Unread> wanted,
+                                                   std::vector<ListedResult::UnreadText> wanted,
                                                    ReadBounds bounds) {
   std::uint64_t bytes = 0;
   KeyRange range{wanted.front().key, wanted.front().key};
@@ -208,11 +209,11 @@
     range.after = std::min(range.after, text.key);
     range.through = std::max(range.through, text.key);
   }
-  const std::uint64_t most = std::min(bytes, bounds.bytes);
-  ReadResult read = co_await log_.read(partition, wanted.front().offset, most, Duration{0});
+  const std::uint64_t max_bytes = std::min(bytes, bounds.bytes);
+  ReadResult read = co_await log_.read(partition, wanted.front().offset, max_bytes, Duration{0});
   if (read.status == LogStatus::kTruncated) {
     range.after.pop_back();
-    const ReadTurns::Turn turn = co_await turns_.take();
+    const ReadTurns::Turn turn = co_await key_read_turns_.take();
     read = co_await log_.read_newest(partition, range, bounds.patience);
   }
   std::erase_if(read.records,
@@ -239,11 +240,11 @@
                                                        TimePoint deadline) {
   std::vector<std::string> keys;
   for (std::uint32_t index = 0; index < submission.items.size(); ++index) {
-    for (std::uint32_t piece = 0; piece < submission.items[index].body_records; ++piece) {
-      keys.push_back(body_record_key(key, submission.request_writer, index, piece));
+    for (std::uint32_t chunk = 0; chunk < submission.items[index].request_records; ++chunk) {
+      keys.push_back(request_record_key(key, submission.request_writer, index, chunk));
     }
   }
-  const PartitionName partition = partition_of(JobData::kBodies, key, submission.data_topics);
+  const PartitionName partition = partition_of(JobData::kRequests, key, submission.data_topics);
   co_return co_await delete_keys(partition, std::move(keys), deadline);
 }
 
--- a/src/jobs/job_data_log.h
+++ b/src/jobs/job_data_log.h
@@ -22,7 +22,7 @@
 struct RequestsRead {
   LogStatus status = LogStatus::kUnknown;
   std::map<std::uint32_t, ItemRequest> found;  ///< By item. Never more than were asked for.
-  std::vector<std::uint32_t> absent;           ///< Items whose request is not where it should be.
+  std::vector<std::uint32_t> missing;          ///< Items whose request is not where it should be.
 };
 
 /// Results of a job that one read found.
@@ -70,7 +70,7 @@
   /// others may be.
   /// @param wanted ascending by offset, at least one.
   boost::asio::awaitable<ReadResult> read_texts(PartitionName partition,
-                                                std::vector<ListedResult::Unread> wanted,
+                                                std::vector<ListedResult::UnreadText> wanted,
                                                 ReadBounds bounds);
   [[nodiscard]] const ResultBytes& result_bytes() const { return result_bytes_; }
   /// Deletes the progress of a job's items.
@@ -102,7 +102,7 @@
   };
   [[nodiscard]] static RequestSpan first_span(const JobSubmission& submission,
                                               const std::vector<std::uint32_t>& wanted,
-                                              std::uint64_t most_bytes);
+                                              std::uint64_t max_bytes);
   void count_results(const std::vector<StoredRecord>& records);
   boost::asio::awaitable<LogStatus> delete_keys(PartitionName partition,
                                                 std::vector<std::string> keys, TimePoint deadline);
@@ -112,7 +112,8 @@
   BackoffBounds retries_;
   AppendSize append_size_;
   ResultBytes result_bytes_;
-  ReadTurns turns_;  ///< Of reads of results and requests by key, whose pages have up to 1 MB.
+  ReadTurns
+      key_read_turns_;  ///< Of reads of results and requests by key, whose pages have up to 1 MB.
 };
 
 }  // namespace stoathold
--- a/src/jobs/job_loader.cc
+++ b/src/jobs/job_loader.cc
@@ -17,14 +17,17 @@
 namespace asio = boost::asio;
 
 /// Reads under way at once: one waits for the log while another is on the link.
-constexpr int kMostReaders = 2;
+constexpr int kMaxConcurrentReaders = 2;
 /// How far each failed read in a row puts a job off: those submitted in this time go before it.
-constexpr std::int64_t kFailureDelayMs = 5000;
+constexpr std::int64_t kFailurePenaltyMs = 5000;
 
 }  // namespace
 
-JobLoader::JobLoader(asio::any_io_executor executor, JobStore& store, HasRoom has_room)
-    : executor_(std::move(executor)), store_(store), has_room_(std::move(has_room)) {}
+JobLoader::JobLoader(asio::any_io_executor executor, JobStore& store,
+                     CanReadRequests can_read_requests)
+    : executor_(std::move(executor)),
+      store_(store),
+      can_read_requests_(std::move(can_read_requests)) {}
 
 void JobLoader::add(JobLoad load) {
   JobRead read;
@@ -34,32 +37,32 @@
 }
 
 void JobLoader::enqueue(JobRead read) {
-  const std::int64_t place = read.load.submitted_ms + read.failures * kFailureDelayMs;
-  waiting_.emplace(place, std::move(read));
+  const std::int64_t priority = read.load.submitted_ms + read.failures * kFailurePenaltyMs;
+  queue_.emplace(priority, std::move(read));
 }
 
 void JobLoader::resume() {
-  if (readers_ >= kMostReaders || next_readable() == waiting_.end()) return;
+  if (readers_ >= kMaxConcurrentReaders || next_readable() == queue_.end()) return;
   ++readers_;
   asio::co_spawn(executor_, read_queue(), asio::detached);
 }
 
 JobLoader::Queue::iterator JobLoader::next_readable() {
-  return std::find_if(waiting_.begin(), waiting_.end(), [this](const auto& entry) {
-    return entry.second.step != Step::kRequests || has_room_(entry.second.load.key);
+  return std::find_if(queue_.begin(), queue_.end(), [this](const auto& entry) {
+    return entry.second.step != Step::kRequests || can_read_requests_(entry.second.load.key);
   });
 }
 
 asio::awaitable<void> JobLoader::read_queue() {
   Backoff backoff;
   Timer timer(executor_);
-  for (auto next = next_readable(); next != waiting_.end(); next = next_readable()) {
+  for (auto next = next_readable(); next != queue_.end(); next = next_readable()) {
     JobRead read = std::move(next->second);
-    waiting_.erase(next);
-    if (!read.load.wanted()) continue;
+    queue_.erase(next);
+    if (!read.load.still_needed()) continue;
     const LogStatus status = co_await read_next(read);
-    if (!read.load.wanted()) continue;
-    const bool done = read.step == Step::kRequests && read.items.empty();
+    if (!read.load.still_needed()) continue;
+    const bool done = read.step == Step::kRequests && read.unread_items.empty();
     if (status == LogStatus::kOk) {
       backoff.reset();
       read.failures = 0;
@@ -85,8 +88,8 @@
       break;
     case Step::kProgress:
       status = co_await store_.refresh_progress(read.load.key, read.bounds);
-      if (status != LogStatus::kOk || !read.load.wanted()) break;
-      read.items = read.load.loaded();
+      if (status != LogStatus::kOk || !read.load.still_needed()) break;
+      read.unread_items = read.load.on_loaded();
       read.step = Step::kRequests;
       break;
     case Step::kRequests:
@@ -97,24 +100,24 @@
 }
 
 asio::awaitable<LogStatus> JobLoader::read_requests(JobRead& read) {
-  std::vector<std::uint32_t> wanted = read.items;
-  wanted.resize(std::min(wanted.size(), kMostRequests));
+  std::vector<std::uint32_t> wanted = read.unread_items;
+  wanted.resize(std::min(wanted.size(), kMaxRequestsPerRead));
   RequestsRead found = co_await store_.read_requests(read.load.key, std::move(wanted), read.bounds);
-  if (found.status != LogStatus::kOk || !read.load.wanted()) co_return found.status;
-  for (const std::uint32_t item : found.absent) {
-    read.load.request_absent(item);
-    std::erase(read.items, item);
-    read.absent.push_back(item);
+  if (found.status != LogStatus::kOk || !read.load.still_needed()) co_return found.status;
+  for (const std::uint32_t item : found.missing) {
+    read.load.on_request_missing(item);
+    std::erase(read.unread_items, item);
+    read.missing.push_back(item);
   }
-  std::erase_if(read.items, [&](std::uint32_t item) { return found.found.contains(item); });
-  for (auto& [item, request] : found.found) read.load.request_read(item, std::move(request));
-  if (!read.items.empty() || read.absent.empty()) co_return LogStatus::kOk;
+  std::erase_if(read.unread_items, [&](std::uint32_t item) { return found.found.contains(item); });
+  for (auto& [item, request] : found.found) read.load.on_request(item, std::move(request));
+  if (!read.unread_items.empty() || read.missing.empty()) co_return LogStatus::kOk;
   // The log has accepted these: it is asked again, behind the other jobs.
-  read.items = std::exchange(read.absent, {});
+  read.unread_items = std::exchange(read.missing, {});
   co_return LogStatus::kUnknown;
 }
 
-std::string_view JobLoader::name_of(Step step) {
+std::string_view JobLoader::step_name(Step step) {
   switch (step) {
     case Step::kResults:
       return "results";
@@ -128,11 +131,11 @@
 
 void JobLoader::log_retry(const JobRead& read, LogStatus status) const {
   log_event(Event::kJobLoadRetried, {{"job", read.load.key},
-                                     {"step", std::string(name_of(read.step))},
+                                     {"step", std::string(step_name(read.step))},
                                      {"status", std::string(to_string(status))},
-                                     {"items", std::to_string(read.items.size())},
+                                     {"items", std::to_string(read.unread_items.size())},
                                      {"failures", std::to_string(read.failures)},
-                                     {"waiting", std::to_string(waiting_.size())}});
+                                     {"waiting", std::to_string(queue_.size())}});
 }
 
 }  // namespace stoathold
--- a/src/jobs/job_records.cc
+++ b/src/jobs/job_records.cc
@@ -11,14 +11,14 @@
 namespace {
 
 constexpr std::array<std::string_view, 4> kKindPrefixes{"s.", "e.", "f.", "p."};
-constexpr std::string_view kResultPart = "/r/";
-constexpr std::string_view kProgressPart = "/p/";
+constexpr std::string_view kResultSection = "/r/";
+constexpr std::string_view kProgressSection = "/p/";
 constexpr std::array<std::string_view, 3> kDataTopics{"job-results", "job-progress", "job-bodies"};
 constexpr std::uint64_t kSlotSeed = 0x736c6f74;
 /// In front of all keys of jobs, which begin with a hexadecimal digit.
-constexpr char kTextMark = '!';
+constexpr char kTextKeyPrefix = '!';
 /// Begins a listing: a whole result begins with the length of its job's key.
-constexpr std::uint64_t kListingMark = 0x676e697473696c21;
+constexpr std::uint64_t kListingMagic = 0x676e697473696c21;
 
 /// A submission whose results may be split. Written as this kind only if they may.
 struct SplitResultsSubmission : JobSubmission {
@@ -38,14 +38,14 @@
 };
 
 /// Fixed width, so that keys sort by number.
-std::string padded(std::uint32_t number) {
+std::string zero_padded(std::uint32_t number) {
   std::array<char, 16> text{};
   std::snprintf(text.data(), text.size(), "%06u", number);
   return text.data();
 }
 
 /// The keys of one part of a job's records: '0' is the character behind '/', which ends each part.
-KeyRange part_range(const JobKey& key, std::string_view part) {
+KeyRange section_key_range(const JobKey& key, std::string_view part) {
   KeyRange range;
   range.after = key + std::string(part);
   range.through = range.after;
@@ -97,11 +97,11 @@
 }
 
 std::string result_record_key(const JobKey& key, std::uint32_t item, std::string_view writer) {
-  return key + std::string(kResultPart) + padded(item) + "/" + std::string(writer);
+  return key + std::string(kResultSection) + zero_padded(item) + "/" + std::string(writer);
 }
 
 std::string progress_record_key(const JobKey& key, std::uint32_t item) {
-  return key + std::string(kProgressPart) + padded(item);
+  return key + std::string(kProgressSection) + zero_padded(item);
 }
 
 std::string text_record_key(std::string_view listing_key, std::int64_t written_ms) {
@@ -109,13 +109,13 @@
   std::array<char, 24> time{};
   std::snprintf(time.data(), time.size(), "%011llx", static_cast<unsigned long long>(written_ms));
   const std::string_view writer = listing_key.substr(listing_key.rfind('/') + 1);
-  std::string key(1, kTextMark);
+  std::string key(1, kTextKeyPrefix);
   key += job_of_record_key(listing_key);
   return key + "/" + time.data() + "/" + std::string(writer);
 }
 
 bool is_text_record_key(std::string_view key) {
-  return key.starts_with(kTextMark);
+  return key.starts_with(kTextKeyPrefix);
 }
 
 std::vector<KeyedRecord> result_records(const ItemResult& result, std::string_view writer,
@@ -133,11 +133,11 @@
   return JobKey(key.substr(0, key.find('/')));
 }
 
-std::string body_record_key(const JobKey& key, std::string_view writer, std::uint32_t item,
-                            std::uint32_t record) {
+std::string request_record_key(const JobKey& key, std::string_view writer, std::uint32_t item,
+                               std::uint32_t record) {
   std::string text = key + "/";
   if (!writer.empty()) text += std::string(writer) + "/";
-  return text + padded(item) + "/" + padded(record);
+  return text + zero_padded(item) + "/" + zero_padded(record);
 }
 
 KeyRange job_key_range(const JobKey& key) {
@@ -145,13 +145,13 @@
 }
 
 KeyRange result_key_range(const JobKey& key, std::uint32_t first_item) {
-  KeyRange range = part_range(key, kResultPart);
-  if (first_item > 0) range.after += padded(first_item - 1) + "0";
+  KeyRange range = section_key_range(key, kResultSection);
+  if (first_item > 0) range.after += zero_padded(first_item - 1) + "0";
   return range;
 }
 
 KeyRange progress_key_range(const JobKey& key) {
-  return part_range(key, kProgressPart);
+  return section_key_range(key, kProgressSection);
 }
 
 std::string encode(const JobSubmission& submission) {
@@ -165,7 +165,7 @@
   return encode_value(result);
 }
 std::string encode(const ResultListing& listing) {
-  return encode_value(std::pair(kListingMark, listing));
+  return encode_value(std::pair(kListingMagic, listing));
 }
 std::string encode(const ItemProgress& progress) {
   return encode_value(progress);
@@ -194,7 +194,7 @@
 }
 bool decode(const std::string& bytes, ResultListing& listing) {
   std::pair<std::uint64_t, ResultListing> marked;
-  if (!decode_value(bytes, marked) || marked.first != kListingMark) return false;
+  if (!decode_value(bytes, marked) || marked.first != kListingMagic) return false;
   listing = marked.second;
   return true;
 }
--- a/src/jobs/job_records.h
+++ b/src/jobs/job_records.h
@@ -41,7 +41,7 @@
 /// Partition of the jobs topic.
 std::uint32_t jobs_partition(std::string_view host, std::uint32_t partitions);
 /// What the log holds of a job beside its record of the jobs topic.
-enum class JobData : std::uint8_t { kResults, kProgress, kBodies };
+enum class JobData : std::uint8_t { kResults, kProgress, kRequests };
 
 /// Returns the partition of a job's results, progress or bodies.
 /// @param topics over which the job's records of a kind are spread (`JobSubmission::data_topics`).
@@ -54,14 +54,14 @@
 /// One item as a submission lists it.
 struct JobItem {
   std::string id;
-  std::uint64_t tokens = 0;      ///< Prompt and most output.
-  RecordOffset body_offset = 0;  ///< Of the first record of its request.
-  std::uint64_t body_bytes = 0;  ///< Of all records of its request.
-  std::uint32_t body_records = 1;
+  std::uint64_t tokens = 0;         ///< Prompt and most output.
+  RecordOffset request_offset = 0;  ///< Of the first record of its request.
+  std::uint64_t request_bytes = 0;  ///< Of all records of its request.
+  std::uint32_t request_records = 1;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(id, tokens, body_offset, body_bytes, body_records);
+    archive(id, tokens, request_offset, request_bytes, request_records);
   }
 };
 
@@ -155,7 +155,7 @@
 };
 
 /// What a record of the jobs topic says.
-enum class JobRecordKind : std::uint8_t { kSubmitted, kEnded, kFinished, kProgress };
+enum class JobRecordKind : std::uint8_t { kSubmitted, kCancelled, kFinished, kProgress };
 
 /// Key of a record of the jobs topic.
 std::string jobs_record_key(JobRecordKind kind, const JobKey& key);
@@ -180,8 +180,8 @@
 JobKey job_of_record_key(std::string_view key);
 /// Key of one record of an item's request.
 /// @param writer `JobSubmission::request_writer`.
-std::string body_record_key(const JobKey& key, std::string_view writer, std::uint32_t item,
-                            std::uint32_t record);
+std::string request_record_key(const JobKey& key, std::string_view writer, std::uint32_t item,
+                               std::uint32_t record);
 /// The range of all of a job's keys in one of these topics.
 KeyRange job_key_range(const JobKey& key);
 /// Returns the range of the keys of a job's results, from an item on.
--- a/src/jobs/job_runner.cc
+++ b/src/jobs/job_runner.cc
@@ -19,23 +19,23 @@
 /// Items of one job that one node runs at the same time, or has wait for a place, while it has no
 /// other job: more than a whole job has, so that a large job waits for places at runners and not
 /// for its own items. All jobs together have half as many again.
-constexpr std::size_t kMaxItemsOfJob = 256;
+constexpr std::size_t kMaxItemsPerJob = 256;
 /// Requests that all jobs together hold. An item may have 690 kB, and machines as little as 160 MB,
 /// of which this is a fifth.
 constexpr double kMaxRequestBytes = 32.0 * 1024 * 1024;
 /// A process that has just started lets few items run at first, so that online requests, which also
 /// come back all at once, find places; the number rises to the full one in this time.
-constexpr Duration kSlowStart = std::chrono::seconds(4);
-constexpr std::size_t kFirstItems = 6;
+constexpr Duration kSlowStartDuration = std::chrono::seconds(4);
+constexpr std::size_t kSlowStartInitialItems = 6;
 
 /// Which run gives its slot back: the greatest. One that will be late anyway loses least, then the
 /// one with the most time, then the newest.
-struct YieldOrder {
+struct YieldPriority {
   bool late = false;
   Duration slack{0};
   TimePoint placed_at{};
 
-  auto operator<=>(const YieldOrder&) const = default;  // NOLINT(modernize-use-nullptr)
+  auto operator<=>(const YieldPriority&) const = default;  // NOLINT(modernize-use-nullptr)
 };
 
 }  // namespace
@@ -46,9 +46,9 @@
       store_(store),
       settings_(std::move(settings)),
       writer_(context.executor, store,
-              [this](const ItemResult& result) { result_durable(result); }),
+              [this](const ItemResult& result) { on_result_durable(result); }),
       loader_(context.executor, store,
-              [this](const JobKey& key) { return has_room_for_requests(key); }),
+              [this](const JobKey& key) { return can_read_requests(key); }),
       membership_(
           context.executor, log, settings_.member_name,
           SlotHandlers{
@@ -56,22 +56,22 @@
                 context_.start_progress.reached(StartStep::kFirstSlotsHeld, monotonic_now());
                 store_.set_running_jobs(true);
                 store_.for_each_job(
-                    [this](const JobKey& key, const JobEntry& job) { job_changed(key, job); });
+                    [this](const JobKey& key, const JobEntry& job) { on_job_changed(key, job); });
               },
-              [this](std::set<std::uint32_t> slots) { return give_up_slots(std::move(slots)); },
+              [this](std::set<std::uint32_t> slots) { return release_slots(std::move(slots)); },
               [this](const std::vector<std::string>& names) {
                 if (members_listener_) members_listener_(names);
               }}),
       stage_log_(context.executor, stages_,
                  [this](const JobKey& key, std::uint32_t index) { return item_id(key, index); }),
-      turns_(SharedRoom::size_for_one_job(kFirstItems)),
-      waiting_room_(SharedRoom::size_for_one_job(kMaxItemsOfJob)),
-      request_bytes_(kMaxRequestBytes),
+      running_capacity_(SharedRoom::size_for_one_job(kSlowStartInitialItems)),
+      waiting_capacity_(SharedRoom::size_for_one_job(kMaxItemsPerJob)),
+      request_byte_capacity_(kMaxRequestBytes),
       held_requests_(*context.memory) {
-  writer_.count_in(*context.memory);
-  store_.count_in(*context.memory);
+  writer_.charge_to(*context.memory);
+  store_.charge_to(*context.memory);
   store_.set_running_jobs(false);
-  store_.set_listener([this](const JobKey& key, const JobEntry& job) { job_changed(key, job); });
+  store_.set_listener([this](const JobKey& key, const JobEntry& job) { on_job_changed(key, job); });
 }
 
 void JobRunner::start() {
@@ -85,11 +85,11 @@
   return membership_.holds(job_slot(key, store_.limits().group_slots));
 }
 
-void JobRunner::job_changed(const JobKey& key, const JobEntry& job) {
+void JobRunner::on_job_changed(const JobKey& key, const JobEntry& job) {
   if (!job.open()) {
-    const bool was_run_here = jobs_.contains(key);
+    const bool ran_on_this_node = jobs_.contains(key);
     stop_job(key, false);
-    if (was_run_here) {
+    if (ran_on_this_node) {
       asio::co_spawn(context_.executor, store_.delete_requests(key), asio::detached);
     }
   } else if (holds(key) && !stopping_) {
@@ -111,62 +111,64 @@
   loader_.add(
       {.key = key,
        .submitted_ms = job->submitted_ms,
-       .wanted = [job] { return !job->stopped; },
-       .loaded = [this, key, job] { return job_loaded(key, job); },
-       .request_read =
+       .still_needed = [job] { return !job->stopped; },
+       .on_loaded = [this, key, job] { return on_job_loaded(key, job); },
+       .on_request =
            [this, key, job](std::uint32_t index, ItemRequest request) {
-             request_read(key, *job, index, std::move(request));
+             on_request_read(key, *job, index, std::move(request));
            },
-       .request_absent =
+       .on_request_missing =
            [key, job](std::uint32_t index) {
              log_event(Event::kItemUnreadable, {{"job", key}, {"item", job->items[index].id}});
            }});
 }
 
-std::vector<std::uint32_t> JobRunner::job_loaded(const JobKey& key,
-                                                 const std::shared_ptr<ActiveJob>& job) {
-  job->holder = holder_of(key, *job);
+std::vector<std::uint32_t> JobRunner::on_job_loaded(const JobKey& key,
+                                                    const std::shared_ptr<ActiveJob>& job) {
+  job->capacity_key = capacity_key_of(key, *job);
   const ListedResults& results = store_.results_of(key);
   log_event(Event::kJobLoaded, {{"job", key},
                                 {"listed", std::to_string(results.listed().size())},
                                 {"waiting", std::to_string(waiting_.size())},
                                 {"running", std::to_string(running_items_)}});
-  stages_.job_read(key);
+  stages_.mark_job_read(key);
   for (std::uint32_t index = 0; index < job->items.size(); ++index) {
     if (results.is_listed(index)) {
       job->finished_tokens += job->items[index].tokens;
     } else {
-      job->unlisted.insert(index);
+      job->unfinished_items.insert(index);
       enter_stage(key, *job, index, ItemStage::kReadingRequest);
     }
   }
-  if (job->unlisted.empty()) {
+  if (job->unfinished_items.empty()) {
     asio::co_spawn(context_.executor, finish_job(key, job), asio::detached);
   }
-  return {job->unlisted.begin(), job->unlisted.end()};
+  return {job->unfinished_items.begin(), job->unfinished_items.end()};
 }
 
-void JobRunner::request_read(const JobKey& key, ActiveJob& job, std::uint32_t index,
-                             ItemRequest request) {
-  request_bytes_.take(job.holder, static_cast<double>(job.items[index].body_bytes));
-  waiting_room_.take(job.holder, 1);
-  held_requests_.add(job.items[index].body_bytes);
+void JobRunner::on_request_read(const JobKey& key, ActiveJob& job, std::uint32_t index,
+                                ItemRequest request) {
+  request_byte_capacity_.take(job.capacity_key,
+                              static_cast<double>(job.items[index].request_bytes));
+  waiting_capacity_.take(job.capacity_key, 1);
+  held_requests_.add(job.items[index].request_bytes);
   job.requests[index] = std::move(request);
   enter_stage(key, job, index, ItemStage::kWaitingForTurn);
   waiting_.insert({job.submitted_ms, key, index});
-  start_waiting();
+  start_waiting_items();
 }
 
 std::size_t JobRunner::item_limit() const {
   const Duration age = monotonic_now() - started_;
-  if (age >= kSlowStart) return kMaxItemsOfJob;
-  const double part = to_seconds(age) / to_seconds(kSlowStart);
-  return kFirstItems + static_cast<std::size_t>(part * (kMaxItemsOfJob - kFirstItems));
+  if (age >= kSlowStartDuration) return kMaxItemsPerJob;
+  const double fraction = to_seconds(age) / to_seconds(kSlowStartDuration);
+  return kSlowStartInitialItems +
+         static_cast<std::size_t>(fraction * (kMaxItemsPerJob - kSlowStartInitialItems));
 }
 
 bool JobRunner::yield_place(const YieldRequest& request) {
   std::shared_ptr<ItemRun> chosen;
-  YieldOrder best;
+  YieldPriority best;
   for (const auto& [key, job] : jobs_) {
     for (const auto& [index, run] : job->runs) {
       const auto& runner = run->runner();
@@ -175,7 +177,7 @@
       if (record.service != request.service || record.zone != request.zone) continue;
       if (request.runner != 0 && request.runner != runner->hash()) continue;
       const ItemSchedule schedule = run->schedule();
-      const YieldOrder order{schedule.late(), schedule.slack(), run->placed_at()};
+      const YieldPriority order{schedule.late(), schedule.slack(), run->placed_at()};
       if (chosen && order <= best) continue;
       chosen = run;
       best = order;
@@ -186,7 +188,7 @@
 }
 
 /// A job's route is sent to the first of its services most of the time; the others hardly differ.
-RoomHolder JobRunner::holder_of(const JobKey& key, const ActiveJob& job) const {
+RoomHolder JobRunner::capacity_key_of(const JobKey& key, const ActiveJob& job) const {
   const auto configuration = context_.configuration;
   const Route* route = configuration ? configuration->find_route(job.host, job.path) : nullptr;
   const bool has_service = route != nullptr && !route->services.empty();
@@ -194,45 +196,45 @@
   return {stable_hash(service), stable_hash(service + '\n' + job.tenant), stable_hash(key)};
 }
 
-bool JobRunner::has_room_for_requests(const JobKey& key) const {
+bool JobRunner::can_read_requests(const JobKey& key) const {
   const auto job = jobs_.find(key);
   if (job == jobs_.end()) return true;  // It is left out as soon as it has its turn.
-  const RoomHolder& holder = job->second->holder;
-  return waiting_room_.may_take(holder) && request_bytes_.may_take(holder) &&
-         held_requests_.has_room();
+  const RoomHolder& capacity_key = job->second->capacity_key;
+  return waiting_capacity_.may_take(capacity_key) &&
+         request_byte_capacity_.may_take(capacity_key) && held_requests_.can_read_more();
 }
 
-bool JobRunner::start_next() {
+bool JobRunner::start_next_item() {
   const auto next = std::find_if(waiting_.begin(), waiting_.end(), [this](const auto& item) {
-    return turns_.may_take(jobs_.at(item.job)->holder);
+    return running_capacity_.may_take(jobs_.at(item.job)->capacity_key);
   });
   if (next == waiting_.end()) return false;
   const WaitingItem item = std::move(waiting_.extract(next).value());
   const auto job = jobs_.at(item.job);
   auto request = job->requests.extract(item.index);
-  waiting_room_.give_back(job->holder, 1);
-  turns_.take(job->holder, 1);
+  waiting_capacity_.give_back(job->capacity_key, 1);
+  running_capacity_.take(job->capacity_key, 1);
   ++running_items_;
   asio::co_spawn(context_.executor, run_item(item, job, std::move(request.mapped())),
                  asio::detached);
   return true;
 }
 
-void JobRunner::start_waiting() {
-  turns_.set_size(SharedRoom::size_for_one_job(static_cast<double>(item_limit())));
-  while (start_next()) {
+void JobRunner::start_waiting_items() {
+  running_capacity_.set_size(SharedRoom::size_for_one_job(static_cast<double>(item_limit())));
+  while (start_next_item()) {
   }
   loader_.resume();
 }
 
 asio::awaitable<void> JobRunner::run_item(WaitingItem item, std::shared_ptr<ActiveJob> job,
                                           ItemRequest request) {
-  const JobItem& listed = job->items[item.index];
+  const JobItem& job_item = job->items[item.index];
   if (!job->stopped) {
     ItemProgress progress;
     const ItemProgress* known = store_.progress_of(item.job, item.index);
     if (known != nullptr) progress = *known;
-    ItemContext context{item.job,  item.index,  listed.id,        job->host,
+    ItemContext context{item.job,  item.index,  job_item.id,      job->host,
                         job->path, job->tenant, job->submitted_ms};
     const auto run = std::make_shared<ItemRun>(context_, std::move(context), std::move(request),
                                                std::move(progress), settings_.clock_skew);
@@ -244,7 +246,7 @@
     if (result) {
       log_event(Event::kItemDone,
                 {{"job", item.job},
-                 {"item", listed.id},
+                 {"item", job_item.id},
                  {"state", result->state == ItemState::kCompleted ? "completed" : "dead_lettered"},
                  {"failures", std::to_string(run->progress().failures)}});
       enter_stage(item.job, *job, item.index, ItemStage::kWritingResult);
@@ -252,25 +254,25 @@
     }
   }
   --running_items_;
-  turns_.give_back(job->holder, 1);
-  request_bytes_.give_back(job->holder, static_cast<double>(listed.body_bytes));
-  held_requests_.remove(listed.body_bytes);
-  start_waiting();
+  running_capacity_.give_back(job->capacity_key, 1);
+  request_byte_capacity_.give_back(job->capacity_key, static_cast<double>(job_item.request_bytes));
+  held_requests_.remove(job_item.request_bytes);
+  start_waiting_items();
 }
 
-void JobRunner::result_durable(const ItemResult& result) {
-  stages_.leave(result.job, result.item);
+void JobRunner::on_result_durable(const ItemResult& result) {
+  stages_.remove_item(result.job, result.item);
   const auto found = jobs_.find(result.job);
   if (found == jobs_.end()) return;
   const auto job = found->second;
   // A run that was stopped and begun again may have two results; the item counts once.
-  if (job->unlisted.erase(result.item) == 0) return;
+  if (job->unfinished_items.erase(result.item) == 0) return;
   log_event(Event::kItemListed, {{"job", result.job},
                                  {"item", job->items[result.item].id},
-                                 {"left", std::to_string(job->unlisted.size())}});
+                                 {"left", std::to_string(job->unfinished_items.size())}});
   job->finished_tokens += job->items[result.item].tokens;
-  counts_changed_.insert(result.job);
-  if (job->unlisted.empty()) {
+  jobs_with_changed_counts_.insert(result.job);
+  if (job->unfinished_items.empty()) {
     asio::co_spawn(context_.executor, finish_job(result.job, job), asio::detached);
   }
 }
@@ -297,23 +299,24 @@
   const auto job = found->second;
   jobs_.erase(found);
   job->stopped = true;
-  stages_.forget(key);
+  stages_.remove_job(key);
   std::erase_if(waiting_, [&](const WaitingItem& item) { return item.job == key; });
   for (const auto& [index, request] : job->requests) {
-    waiting_room_.give_back(job->holder, 1);
-    request_bytes_.give_back(job->holder, static_cast<double>(job->items[index].body_bytes));
-    held_requests_.remove(job->items[index].body_bytes);
+    waiting_capacity_.give_back(job->capacity_key, 1);
+    request_byte_capacity_.give_back(job->capacity_key,
+                                     static_cast<double>(job->items[index].request_bytes));
+    held_requests_.remove(job->items[index].request_bytes);
   }
   job->requests.clear();
   for (const auto& [index, run] : job->runs) {
-    if (keep_progress) add_checkpoint(*run);
+    if (keep_progress) queue_checkpoint(*run);
     run->stop();
   }
-  checkpointed_.forget(key);
-  counts_changed_.erase(key);
+  durable_checkpoints_.remove_job(key);
+  jobs_with_changed_counts_.erase(key);
 }
 
-asio::awaitable<void> JobRunner::give_up_slots(std::set<std::uint32_t> slots) {
+asio::awaitable<void> JobRunner::release_slots(std::set<std::uint32_t> slots) {
   std::vector<JobKey> keys;
   for (const auto& [key, job] : jobs_) {
     if (slots.contains(job_slot(key, store_.limits().group_slots))) keys.push_back(key);
@@ -325,7 +328,7 @@
 
 void JobRunner::enter_stage(const JobKey& key, const ActiveJob& job, std::uint32_t index,
                             ItemStage stage) {
-  if (job.stopped || !job.unlisted.contains(index)) return;
+  if (job.stopped || !job.unfinished_items.contains(index)) return;
   stages_.enter(key, index, stage, monotonic_now());
 }
 
--- a/src/jobs/job_runner.h
+++ b/src/jobs/job_runner.h
@@ -67,12 +67,13 @@
     std::vector<JobItem> items;
     std::map<std::uint32_t, ItemRequest> requests;  ///< Of the items that wait to be run.
     std::map<std::uint32_t, std::shared_ptr<ItemRun>> runs;
-    RoomHolder holder;  ///< What its items count towards; fixed when the first one may be read.
+    RoomHolder
+        capacity_key;  ///< What its items count towards; fixed when the first one may be read.
     std::uint64_t finished_tokens = 0;
-    std::set<std::uint32_t> unlisted;  ///< Items without a durable result.
+    std::set<std::uint32_t> unfinished_items;  ///< Items without a durable result.
     bool stopped = false;
   };
-  void add_checkpoint(const ItemRun& run);
+  void queue_checkpoint(const ItemRun& run);
   [[nodiscard]] std::size_t item_limit() const;
 
   /// An item whose request is read and that waits to be run, the most urgent first.
@@ -84,31 +85,32 @@
     auto operator<=>(const WaitingItem&) const = default;  // NOLINT(modernize-use-nullptr)
   };
 
-  void job_changed(const JobKey& key, const JobEntry& job);
+  void on_job_changed(const JobKey& key, const JobEntry& job);
   void start_job(const JobKey& key, const JobEntry& job);
   /// @return the items that are to be run.
-  std::vector<std::uint32_t> job_loaded(const JobKey& key, const std::shared_ptr<ActiveJob>& job);
-  void request_read(const JobKey& key, ActiveJob& job, std::uint32_t index, ItemRequest request);
+  std::vector<std::uint32_t> on_job_loaded(const JobKey& key,
+                                           const std::shared_ptr<ActiveJob>& job);
+  void on_request_read(const JobKey& key, ActiveJob& job, std::uint32_t index, ItemRequest request);
   void stop_job(const JobKey& key, bool keep_progress);
-  void start_waiting();
+  void start_waiting_items();
   /// Returns whether more requests of the job may be read.
-  [[nodiscard]] bool has_room_for_requests(const JobKey& key) const;
-  [[nodiscard]] RoomHolder holder_of(const JobKey& key, const ActiveJob& job) const;
+  [[nodiscard]] bool can_read_requests(const JobKey& key) const;
+  [[nodiscard]] RoomHolder capacity_key_of(const JobKey& key, const ActiveJob& job) const;
   /// Gives the turn of the next item that may have one to it.
   /// @return false if there is none.
-  bool start_next();
+  bool start_next_item();
   /// Notes an item's stage; one that was stopped, or has a durable result, has none.
   void enter_stage(const JobKey& key, const ActiveJob& job, std::uint32_t index, ItemStage stage);
   [[nodiscard]] std::string item_id(const JobKey& key, std::uint32_t index) const;
   boost::asio::awaitable<void> run_item(WaitingItem item, std::shared_ptr<ActiveJob> job,
                                         ItemRequest request);
-  void result_durable(const ItemResult& result);
+  void on_result_durable(const ItemResult& result);
   boost::asio::awaitable<void> finish_job(JobKey key, std::shared_ptr<ActiveJob> job);
-  boost::asio::awaitable<void> give_up_slots(std::set<std::uint32_t> slots);
+  boost::asio::awaitable<void> release_slots(std::set<std::uint32_t> slots);
   boost::asio::awaitable<void> maintain();
   boost::asio::awaitable<void> erase_expired();
   boost::asio::awaitable<void> write_progress_counts();
-  void collect_checkpoints();
+  void queue_checkpoints();
   boost::asio::awaitable<void> write_checkpoints();
   [[nodiscard]] bool holds(const JobKey& key) const;
 
@@ -122,17 +124,17 @@
   std::set<WaitingItem> waiting_;
   ItemStages stages_;
   ItemStageLog stage_log_;
-  std::set<JobKey> counts_changed_;
-  CheckpointTable checkpointed_;
+  std::set<JobKey> jobs_with_changed_counts_;
+  CheckpointTable durable_checkpoints_;
   /// Progress that is to be written, by partition.
-  std::map<PartitionName, std::vector<ItemProgress>> checkpoints_;
+  std::map<PartitionName, std::vector<ItemProgress>> pending_checkpoints_;
   TimePoint started_{};
   MembersListener members_listener_;
   std::size_t running_items_ = 0;
-  SharedRoom turns_;            ///< Of items that run or wait for a slot.
-  SharedRoom waiting_room_;     ///< Of items that wait for their turn.
-  SharedRoom request_bytes_;    ///< Of items that wait or run.
-  HeldRequests held_requests_;  ///< The same bytes, in the budget of the process.
+  SharedRoom running_capacity_;       ///< Of items that run or wait for a slot.
+  SharedRoom waiting_capacity_;       ///< Of items that wait for their turn.
+  SharedRoom request_byte_capacity_;  ///< Of items that wait or run.
+  HeldRequests held_requests_;        ///< The same bytes, in the budget of the process.
   bool stopping_ = false;
 };
 
--- a/src/jobs/job_runner_upkeep.cc
+++ b/src/jobs/job_runner_upkeep.cc
@@ -12,11 +12,11 @@
 namespace asio = boost::asio;
 
 /// Between rounds of upkeep: progress counts and deletion of old jobs.
-constexpr Duration kUpkeepInterval = std::chrono::milliseconds(700);
+constexpr Duration kMaintenanceInterval = std::chrono::milliseconds(700);
 /// Rounds of upkeep between two records of how far running items came.
-constexpr int kCheckpointRounds = 3;
+constexpr int kRoundsPerCheckpoint = 3;
 /// Bytes of a checkpoint record that are not its text.
-constexpr std::uint64_t kRecordOverhead = 600;
+constexpr std::uint64_t kRecordOverheadBytes = 600;
 
 }  // namespace
 
@@ -24,42 +24,42 @@
   Timer timer(context_.executor);
   int round = 0;
   while (!stopping_) {
-    timer.expires_after(kUpkeepInterval);
+    timer.expires_after(kMaintenanceInterval);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     co_await write_progress_counts();
-    if (++round % kCheckpointRounds == 0) {
-      collect_checkpoints();
+    if (++round % kRoundsPerCheckpoint == 0) {
+      queue_checkpoints();
       co_await write_checkpoints();
     }
-    start_waiting();
-    store_.forget_erased();
+    start_waiting_items();
+    store_.drop_erased_jobs();
     co_await erase_expired();
   }
 }
 
-void JobRunner::add_checkpoint(const ItemRun& run) {
+void JobRunner::queue_checkpoint(const ItemRun& run) {
   if (!run.has_progress()) return;
   const ItemProgress& progress = run.progress();
   const ItemProgress* read = store_.progress_of(progress.job, progress.item);
-  if (!checkpointed_.is_news(progress, read)) return;
+  if (!durable_checkpoints_.is_newer_than_durable(progress, read)) return;
   const PartitionName partition = store_.partition_of(JobData::kProgress, progress.job);
-  checkpoints_[partition].push_back(progress);
+  pending_checkpoints_[partition].push_back(progress);
 }
 
-void JobRunner::collect_checkpoints() {
+void JobRunner::queue_checkpoints() {
   for (const auto& [key, job] : jobs_) {
-    for (const auto& [index, run] : job->runs) add_checkpoint(*run);
+    for (const auto& [index, run] : job->runs) queue_checkpoint(*run);
   }
 }
 
 asio::awaitable<void> JobRunner::write_checkpoints() {
-  const auto batches = std::exchange(checkpoints_, {});
+  const auto batches = std::exchange(pending_checkpoints_, {});
   for (const auto& [partition, entries] : batches) {
     std::vector<KeyedRecord> records;
     std::vector<const ItemProgress*> included;
     std::uint64_t bytes = 0;
     for (const auto& entry : entries) {
-      const std::uint64_t size = entry.text.size() + kRecordOverhead;
+      const std::uint64_t size = entry.text.size() + kRecordOverheadBytes;
       const bool fits =
           size <= store_.limits().record_bytes && bytes + size <= store_.limits().call_bytes;
       // What does not fit is only read again if this node is lost.
@@ -73,13 +73,13 @@
     // Without an answer it may be durable or not; then it is written again in the next round.
     if (status != LogStatus::kOk) continue;
     for (const ItemProgress* entry : included) {
-      if (jobs_.contains(entry->job)) checkpointed_.written(*entry);
+      if (jobs_.contains(entry->job)) durable_checkpoints_.mark_durable(*entry);
     }
   }
 }
 
 asio::awaitable<void> JobRunner::write_progress_counts() {
-  const std::set<JobKey> changed = std::exchange(counts_changed_, {});
+  const std::set<JobKey> changed = std::exchange(jobs_with_changed_counts_, {});
   for (const JobKey& key : changed) {
     const auto found = jobs_.find(key);
     if (found == jobs_.end()) continue;
@@ -90,7 +90,7 @@
     if (route == nullptr || route->max_queued_tokens == 0) continue;
     const LogStatus status = co_await store_.mark(job->host, JobRecordKind::kProgress, key,
                                                   encode_tokens(job->finished_tokens));
-    if (status != LogStatus::kOk) counts_changed_.insert(key);
+    if (status != LogStatus::kOk) jobs_with_changed_counts_.insert(key);
   }
 }
 
--- a/src/jobs/job_store.cc
+++ b/src/jobs/job_store.cc
@@ -16,10 +16,10 @@
 namespace asio = boost::asio;
 
 /// Between two reads of the jobs that bring something: a job may begin this much later.
-constexpr Duration kFollowPace = std::chrono::milliseconds(250);
+constexpr Duration kFollowInterval = std::chrono::milliseconds(250);
 /// Between two reads of the jobs by a node that runs none: only erased jobs are to be forgotten,
 /// and they live for many times as long.
-constexpr Duration kRestPace = std::chrono::seconds(10);
+constexpr Duration kIdlePollInterval = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -55,19 +55,19 @@
   return writer_name_ + "-" + std::string(zeros, '0') + number;
 }
 
-asio::awaitable<void> JobStore::pause(Duration duration) {
+asio::awaitable<void> JobStore::sleep_for(Duration duration) {
   Timer timer(executor_, duration);
   co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-JobStore::JobsPartition& JobStore::jobs_of(const std::string& host) {
+JobStore::JobsPartition& JobStore::partition_for_host(const std::string& host) {
   const std::uint32_t number = jobs_partition(host, log_.limits().partitions);
   JobsPartition& partition = jobs_[number];
   if (partition.replica) return partition;
   partition.table =
       std::make_unique<JobTable>([this, &partition](const JobKey& key, const JobEntry& job) {
-        const bool told = partition.followed && partition.replica->health().loaded;
-        if (told && listener_) listener_(key, job);
+        const bool should_notify = partition.followed && partition.replica->health().loaded;
+        if (should_notify && listener_) listener_(key, job);
       });
   const PartitionName name{kJobsTopic, number};
   partition.replica = std::make_shared<PartitionReplica>(log_, name, *partition.table);
@@ -76,21 +76,21 @@
 }
 
 void JobStore::partition_loaded(const JobsPartition& loaded) {
-  announce_open_jobs(loaded);
+  notify_open_jobs(loaded);
   for (const auto& [number, partition] : jobs_) {
     if (partition.followed && !partition.replica->health().loaded) return;
   }
   if (loaded_listener_) loaded_listener_();
 }
 
-void JobStore::announce_open_jobs(const JobsPartition& partition) {
+void JobStore::notify_open_jobs(const JobsPartition& partition) {
   if (!partition.followed || !listener_) return;
   for (const auto& [key, job] : partition.table->jobs()) {
     if (job.open()) listener_(key, job);
   }
 }
 
-const JobEntry* JobStore::entry_of(const JobKey& key) const {
+const JobEntry* JobStore::find_entry(const JobKey& key) const {
   for (const auto& [number, partition] : jobs_) {
     const JobEntry* entry = partition.table->find(key);
     if (entry != nullptr) return entry;
@@ -99,7 +99,7 @@
 }
 
 PartitionName JobStore::partition_of(JobData data, const JobKey& key) const {
-  const JobEntry* entry = entry_of(key);
+  const JobEntry* entry = find_entry(key);
   const std::uint32_t topics =
       entry != nullptr ? entry->submission.data_topics : log_.limits().job_topics;
   return data_.partition_of(data, key, topics);
@@ -112,30 +112,30 @@
 }
 
 void JobStore::follow_host(const std::string& host) {
-  JobsPartition& partition = jobs_of(host);
+  JobsPartition& partition = partition_for_host(host);
   if (partition.followed) return;
   partition.followed = true;
   // A caller's read may have loaded jobs before; the replica will not deliver them again.
-  if (partition.replica->health().loaded) announce_open_jobs(partition);
-  asio::co_spawn(executor_, keep_up(partition), asio::detached);
+  if (partition.replica->health().loaded) notify_open_jobs(partition);
+  asio::co_spawn(executor_, follow_partition(partition), asio::detached);
 }
 
 void JobStore::set_running_jobs(bool running) {
   running_jobs_ = running;
   for (auto& [number, partition] : jobs_) {
-    if (running && partition.rest) partition.rest->cancel();
+    if (running && partition.idle_timer) partition.idle_timer->cancel();
   }
 }
 
 /// Of a large fleet's nodes few run jobs; were all to follow them, most of the calls to the log
 /// would be theirs.
-asio::awaitable<void> JobStore::keep_up(JobsPartition& partition) {
-  partition.rest = std::make_unique<Timer>(executor_);
+asio::awaitable<void> JobStore::follow_partition(JobsPartition& partition) {
+  partition.idle_timer = std::make_unique<Timer>(executor_);
   const std::function<bool()> running = [this] { return running_jobs_; };
   while (true) {
-    co_await partition.replica->follow(running, kFollowPace);
-    partition.rest->expires_after(kRestPace);
-    co_await partition.rest->async_wait(asio::as_tuple(asio::use_awaitable));
+    co_await partition.replica->follow(running, kFollowInterval);
+    partition.idle_timer->expires_after(kIdlePollInterval);
+    co_await partition.idle_timer->async_wait(asio::as_tuple(asio::use_awaitable));
     if (!running_jobs_) co_await partition.replica->catch_up();
   }
 }
@@ -152,7 +152,7 @@
   }
 }
 
-bool JobStore::fits(const JobTable& table, const NewJob& job) {
+bool JobStore::fits_token_quota(const JobTable& table, const NewJob& job) {
   if (job.max_queued_tokens == 0) return true;
   const std::uint64_t queued = table.queued_tokens(job.submission.route, job.submission.tenant);
   return queued + job.submission.tokens() <= job.max_queued_tokens;
@@ -170,7 +170,7 @@
   bool uncertain = false;  // An append without an answer may still be done.
   while (true) {
     if (partition.table->find(key) != nullptr) co_return SubmitStatus::kAccepted;
-    if (!uncertain && !fits(*partition.table, job)) co_return SubmitStatus::kQuota;
+    if (!uncertain && !fits_token_quota(*partition.table, job)) co_return SubmitStatus::kQuota;
     const RecordOffset expected = replica->next_offset();
     const AppendResult result =
         co_await log_.append(replica->name(), records, std::optional(expected));
@@ -180,9 +180,9 @@
       co_return SubmitStatus::kAccepted;
     }
     uncertain = uncertain || result.status == LogStatus::kUnknown;
-    if (result.status != LogStatus::kConflict) co_await pause(backoff.next());
+    if (result.status != LogStatus::kConflict) co_await sleep_for(backoff.next());
     const LogStatus read = co_await replica->catch_up();
-    if (read != LogStatus::kOk) co_await pause(backoff.next());
+    if (read != LogStatus::kOk) co_await sleep_for(backoff.next());
     // Behind the expected end, a late append's condition can no longer hold: its fate is known.
     if (read == LogStatus::kOk && replica->next_offset() > expected) uncertain = false;
     if (monotonic_now() >= deadline) break;
@@ -193,14 +193,14 @@
 
 asio::awaitable<SubmitStatus> JobStore::submit(NewJob job) {
   const JobKey key = make_job_key(job.submission.host, job.submission.id);
-  const TimePoint deadline = monotonic_now() + timing_.settle_time;
-  JobsPartition& partition = jobs_of(job.submission.host);
+  const TimePoint deadline = monotonic_now() + timing_.operation_timeout;
+  JobsPartition& partition = partition_for_host(job.submission.host);
   if (partition.table->find(key) != nullptr) co_return SubmitStatus::kAccepted;
   const auto replica = partition.replica;
   const LogStatus read = co_await replica->catch_up();
   if (partition.table->find(key) != nullptr) co_return SubmitStatus::kAccepted;
   if (read != LogStatus::kOk) co_return SubmitStatus::kRefused;
-  if (!fits(*partition.table, job)) co_return SubmitStatus::kQuota;
+  if (!fits_token_quota(*partition.table, job)) co_return SubmitStatus::kQuota;
   job.submission.data_topics = log_.limits().job_topics;
   job.submission.request_writer = unique_name();
   job.submission.split_results = true;
@@ -209,27 +209,28 @@
   const bool from_this_try =
       entry != nullptr && entry->submission.request_writer == job.submission.request_writer;
   if (status != SubmitStatus::kUncertain && !from_this_try) {
-    asio::co_spawn(executor_, drop_refused(key, std::move(job.submission)), asio::detached);
+    asio::co_spawn(executor_, delete_refused_requests(key, std::move(job.submission)),
+                   asio::detached);
   }
   co_return status;
 }
 
 asio::awaitable<SubmitStatus> JobStore::append_job(JobsPartition& partition, JobKey key,
                                                    NewJob& job, TimePoint deadline) {
-  const LogStatus bodies =
+  const LogStatus requests_status =
       co_await data_.append_requests(key, job.submission, job.requests, deadline);
-  if (bodies == LogStatus::kRejected) co_return SubmitStatus::kInvalid;
-  if (bodies != LogStatus::kOk) co_return SubmitStatus::kRefused;
+  if (requests_status == LogStatus::kRejected) co_return SubmitStatus::kInvalid;
+  if (requests_status != LogStatus::kOk) co_return SubmitStatus::kRefused;
   co_return co_await append_submission(partition, key, job, deadline);
 }
 
-asio::awaitable<void> JobStore::drop_refused(JobKey key, JobSubmission submission) {
-  const TimePoint deadline = monotonic_now() + timing_.settle_time;
+asio::awaitable<void> JobStore::delete_refused_requests(JobKey key, JobSubmission submission) {
+  const TimePoint deadline = monotonic_now() + timing_.operation_timeout;
   co_await data_.delete_requests(key, std::move(submission), deadline);
 }
 
 asio::awaitable<LookupStatus> JobStore::find(std::string host, JobKey key, const JobEntry*& job) {
-  JobsPartition& partition = jobs_of(host);
+  JobsPartition& partition = partition_for_host(host);
   job = partition.table->find(key);
   if (job != nullptr) co_return LookupStatus::kFound;
   const auto replica = partition.replica;
@@ -241,10 +242,10 @@
 
 asio::awaitable<LogStatus> JobStore::mark(std::string host, JobRecordKind kind, JobKey key,
                                           std::string value) {
-  JobsPartition& partition = jobs_of(host);
+  JobsPartition& partition = partition_for_host(host);
   const auto replica = partition.replica;
   const std::vector<KeyedRecord> records{{jobs_record_key(kind, key), std::move(value)}};
-  const TimePoint deadline = monotonic_now() + timing_.settle_time;
+  const TimePoint deadline = monotonic_now() + timing_.operation_timeout;
   const AppendResult result =
       co_await append_until(executor_, log_, replica->name(), records, deadline, timing_.retries);
   if (result.status == LogStatus::kOk) replica->apply_appended(result.offset, records);
@@ -252,13 +253,13 @@
 }
 
 asio::awaitable<LogStatus> JobStore::end(std::string host, JobKey key) {
-  co_return co_await mark(host, JobRecordKind::kEnded, key, "1");
+  co_return co_await mark(host, JobRecordKind::kCancelled, key, "1");
 }
 
 asio::awaitable<RequestsRead> JobStore::read_requests(JobKey key, std::vector<std::uint32_t> wanted,
                                                       ReadBounds bounds) {
   RequestsRead nothing;
-  const JobEntry* entry = entry_of(key);
+  const JobEntry* entry = find_entry(key);
   if (entry == nullptr) co_return nothing;
   const JobSubmission submission = entry->submission;
   co_return co_await data_.read_requests(key, submission, std::move(wanted), bounds);
@@ -290,32 +291,32 @@
 }
 
 asio::awaitable<void> JobStore::delete_requests(JobKey key) {
-  const JobEntry* entry = entry_of(key);
+  const JobEntry* entry = find_entry(key);
   if (entry == nullptr) co_return;
-  const TimePoint deadline = monotonic_now() + timing_.settle_time;
-  co_await delete_work(key, entry->submission, deadline);
+  const TimePoint deadline = monotonic_now() + timing_.operation_timeout;
+  co_await delete_run_data(key, entry->submission, deadline);
 }
 
-asio::awaitable<LogStatus> JobStore::delete_work(JobKey key, JobSubmission submission,
-                                                 TimePoint deadline) {
+asio::awaitable<LogStatus> JobStore::delete_run_data(JobKey key, JobSubmission submission,
+                                                     TimePoint deadline) {
   const LogStatus status = co_await data_.delete_requests(key, submission, deadline);
   if (status != LogStatus::kOk) co_return status;
   co_return co_await data_.delete_progress(key, std::move(submission), deadline);
 }
 
 asio::awaitable<void> JobStore::erase(std::string host, JobKey key) {
-  const JobEntry* entry = entry_of(key);
+  const JobEntry* entry = find_entry(key);
   if (entry == nullptr) co_return;
   const JobSubmission submission = entry->submission;
-  const TimePoint deadline = monotonic_now() + timing_.settle_time;
-  LogStatus status = co_await delete_work(key, submission, deadline);
+  const TimePoint deadline = monotonic_now() + timing_.operation_timeout;
+  LogStatus status = co_await delete_run_data(key, submission, deadline);
   if (status != LogStatus::kOk) co_return;
   status = co_await data_.delete_results(key, submission.data_topics, deadline);
   if (status != LogStatus::kOk) co_return;
-  const auto replica = jobs_of(host).replica;
+  const auto replica = partition_for_host(host).replica;
   std::vector<KeyedRecord> marks;
-  for (const auto kind : {JobRecordKind::kEnded, JobRecordKind::kFinished, JobRecordKind::kProgress,
-                          JobRecordKind::kSubmitted}) {
+  for (const auto kind : {JobRecordKind::kCancelled, JobRecordKind::kFinished,
+                          JobRecordKind::kProgress, JobRecordKind::kSubmitted}) {
     marks.push_back({jobs_record_key(kind, key), {}});
   }
   co_await append_until(executor_, log_, replica->name(), std::move(marks), deadline,
--- a/src/jobs/job_store.h
+++ b/src/jobs/job_store.h
@@ -57,7 +57,7 @@
 /// How long the store tries. Shorter in tests.
 struct JobStoreTiming {
   /// A submission or an end that the log has not settled after this time is given up.
-  Duration settle_time = std::chrono::milliseconds(3000);
+  Duration operation_timeout = std::chrono::milliseconds(3000);
   BackoffBounds retries{};
 };
 
@@ -110,7 +110,7 @@
   /// themselves. Calls that overlap share their reads. A read goes on after those who wait have
   /// given up.
   boost::asio::awaitable<LogStatus> refresh_results(JobKey key,
-                                                    TimePoint give_up = TimePoint::max());
+                                                    TimePoint deadline = TimePoint::max());
   /// Brings the progress of a job's items up to date with the log.
   boost::asio::awaitable<LogStatus> refresh_progress(JobKey key, ReadBounds bounds);
   /// Returns the records of a result, to be appended together; others each time.
@@ -131,10 +131,10 @@
   /// Deletes all records of a job.
   boost::asio::awaitable<void> erase(std::string host, JobKey key);
   /// Counts the results that are kept. The budget outlives the store.
-  void count_in(MemoryBudget& budget);
+  void charge_to(MemoryBudget& budget);
   /// Forgets the results and the progress of jobs that are erased. Where memory is short, also the
   /// results of finished jobs: they are read again when somebody asks for them.
-  void forget_erased();
+  void drop_erased_jobs();
 
   /// A text that no other call of any process gets, for keys.
   std::string unique_name();
@@ -154,56 +154,57 @@
     SharedRead texts;
     ReadBounds text_bounds;
     /// Lowest position that is waited for and not being read.
-    std::uint64_t texts_from = std::numeric_limits<std::uint64_t>::max();
+    std::uint64_t first_needed_text = std::numeric_limits<std::uint64_t>::max();
   };
   /// One partition of a topic: the state folded from it, and what keeps that up to date.
   struct JobsPartition {
     std::unique_ptr<JobTable> table;
     std::shared_ptr<PartitionReplica> replica;
     bool followed = false;
-    std::unique_ptr<Timer> rest;  ///< Ends the rest of a node without jobs.
+    std::unique_ptr<Timer> idle_timer;  ///< Ends the rest of a node without jobs.
   };
 
   /// Whether a job fits the limit on the tokens that may wait on its route.
-  [[nodiscard]] static bool fits(const JobTable& table, const NewJob& job);
+  [[nodiscard]] static bool fits_token_quota(const JobTable& table, const NewJob& job);
   /// Returns the partition of a host's jobs; starts to keep it if nothing did before.
-  JobsPartition& jobs_of(const std::string& host);
+  JobsPartition& partition_for_host(const std::string& host);
   /// Tells the listener of all open jobs of a partition that is read to its end.
-  void announce_open_jobs(const JobsPartition& partition);
+  void notify_open_jobs(const JobsPartition& partition);
   void partition_loaded(const JobsPartition& loaded);
   /// Returns the job, whichever host it is of, or null.
-  [[nodiscard]] const JobEntry* entry_of(const JobKey& key) const;
+  [[nodiscard]] const JobEntry* find_entry(const JobKey& key) const;
   boost::asio::awaitable<SubmitStatus> append_job(JobsPartition& partition, JobKey key, NewJob& job,
                                                   TimePoint deadline);
   /// Deletes what only a job that is run needs: its requests and its progress.
-  boost::asio::awaitable<LogStatus> delete_work(JobKey key, JobSubmission submission,
-                                                TimePoint deadline);
+  boost::asio::awaitable<LogStatus> delete_run_data(JobKey key, JobSubmission submission,
+                                                    TimePoint deadline);
   /// Deletes the requests of a try to submit a job that was not accepted. Nobody waits for it.
-  boost::asio::awaitable<void> drop_refused(JobKey key, JobSubmission submission);
+  boost::asio::awaitable<void> delete_refused_requests(JobKey key, JobSubmission submission);
   boost::asio::awaitable<SubmitStatus> append_submission(JobsPartition& partition, JobKey key,
                                                          NewJob& job, TimePoint deadline);
   /// How results behind those known are read.
-  enum class ResultsBy : std::uint8_t {
+  enum class ResultReadMode : std::uint8_t {
     kKey,     ///< Their listings alone.
     kOffset,  ///< With their texts, as far as the log has its history.
   };
-  std::shared_ptr<ResultReads> reads_of(const JobKey& key);
-  boost::asio::awaitable<LogStatus> refresh_results(JobKey key, TimePoint give_up, ResultsBy by);
+  std::shared_ptr<ResultReads> result_reads_for(const JobKey& key);
+  boost::asio::awaitable<LogStatus> refresh_results(JobKey key, TimePoint deadline,
+                                                    ResultReadMode mode);
   boost::asio::awaitable<LogStatus> read_new_results(JobKey key, std::shared_ptr<ResultReads> reads,
-                                                     ResultsBy by);
+                                                     ResultReadMode mode);
   /// Reads the results for a caller who asks from a position on that isn't listed here.
-  boost::asio::awaitable<LogStatus> list_position(JobKey key, std::uint64_t position,
-                                                  TimePoint give_up);
+  boost::asio::awaitable<LogStatus> refresh_to_position(JobKey key, std::uint64_t position,
+                                                        TimePoint deadline);
   /// Reads the texts that a page from a position on lacks, as far as they come in time.
-  boost::asio::awaitable<void> load_texts(JobKey key, std::uint64_t position, TimePoint give_up);
+  boost::asio::awaitable<void> load_texts(JobKey key, std::uint64_t position, TimePoint deadline);
   /// Reads some texts from the lowest position on that is waited for.
   boost::asio::awaitable<LogStatus> read_texts(JobKey key, std::shared_ptr<ResultReads> reads);
   /// Counts the results that are kept now.
-  void count_results();
+  void update_result_memory();
   /// Drops the results of finished jobs that nobody reads just now, until there is room.
   void drop_finished_results();
-  boost::asio::awaitable<void> pause(Duration duration);
-  boost::asio::awaitable<void> keep_up(JobsPartition& partition);
+  boost::asio::awaitable<void> sleep_for(Duration duration);
+  boost::asio::awaitable<void> follow_partition(JobsPartition& partition);
 
   boost::asio::any_io_executor executor_;
   RecordLog& log_;
@@ -218,7 +219,7 @@
   /// Of the jobs that this node was asked for or runs.
   std::map<JobKey, ListedResults> results_;
   MemoryBudget* budget_ = nullptr;
-  MemoryReservation kept_results_;
+  MemoryReservation result_memory_;
   std::map<JobKey, JobProgress> progress_;
   std::map<JobKey, std::shared_ptr<ResultReads>> result_reads_;
 };
--- a/src/jobs/job_store_memory.cc
+++ b/src/jobs/job_store_memory.cc
@@ -3,42 +3,43 @@
 
 namespace stoathold {
 
-void JobStore::count_in(MemoryBudget& budget) {
+void JobStore::charge_to(MemoryBudget& budget) {
   budget_ = &budget;
-  kept_results_ = budget.charge(MemoryAccount::kListedResults, 0);
-  count_results();
+  result_memory_ = budget.charge(MemoryAccount::kListedResults, 0);
+  update_result_memory();
 }
 
-void JobStore::count_results() {
+void JobStore::update_result_memory() {
   std::uint64_t bytes = 0;
   for (const auto& [key, results] : results_) bytes += results.bytes();
-  kept_results_.resize(bytes);
+  result_memory_.resize(bytes);
 }
 
 /// A read that is under way holds its `ResultReads`, and goes on from what is listed: its job
 /// stays.
 void JobStore::drop_finished_results() {
   if (budget_ == nullptr) return;
-  count_results();
+  update_result_memory();
   for (auto entry = results_.begin(); entry != results_.end();) {
     if (budget_->has_room(MemoryAccount::kListedResults, 0)) return;
-    const JobEntry* job = entry_of(entry->first);
+    const JobEntry* job = find_entry(entry->first);
     const auto reads = result_reads_.find(entry->first);
-    const bool read_now = reads != result_reads_.end() && reads->second.use_count() > 1;
-    if (read_now || job == nullptr || job->open()) {
+    const bool in_use = reads != result_reads_.end() && reads->second.use_count() > 1;
+    if (in_use || job == nullptr || job->open()) {
       ++entry;
       continue;
     }
     if (reads != result_reads_.end()) result_reads_.erase(reads);
-    kept_results_.resize(kept_results_.bytes() - entry->second.bytes());
+    result_memory_.resize(result_memory_.bytes() - entry->second.bytes());
     entry = results_.erase(entry);
   }
 }
 
-void JobStore::forget_erased() {
-  std::erase_if(results_, [&](const auto& entry) { return entry_of(entry.first) == nullptr; });
-  std::erase_if(progress_, [&](const auto& entry) { return entry_of(entry.first) == nullptr; });
-  std::erase_if(result_reads_, [&](const auto& entry) { return entry_of(entry.first) == nullptr; });
+void JobStore::drop_erased_jobs() {
+  std::erase_if(results_, [&](const auto& entry) { return find_entry(entry.first) == nullptr; });
+  std::erase_if(progress_, [&](const auto& entry) { return find_entry(entry.first) == nullptr; });
+  std::erase_if(result_reads_,
+                [&](const auto& entry) { return find_entry(entry.first) == nullptr; });
   drop_finished_results();
 }
 
--- a/src/jobs/job_store_results.cc
+++ b/src/jobs/job_store_results.cc
@@ -16,12 +16,12 @@
 }  // namespace
 
 std::vector<KeyedRecord> JobStore::records_of(const ItemResult& result) {
-  const JobEntry* entry = entry_of(result.job);
+  const JobEntry* entry = find_entry(result.job);
   const bool split = entry != nullptr && entry->submission.split_results;
   return result_records(result, unique_name(), wall_clock_ms(), split);
 }
 
-std::shared_ptr<JobStore::ResultReads> JobStore::reads_of(const JobKey& key) {
+std::shared_ptr<JobStore::ResultReads> JobStore::result_reads_for(const JobKey& key) {
   std::shared_ptr<ResultReads>& kept = result_reads_[key];
   if (!kept) kept = std::make_shared<ResultReads>();
   return kept;
@@ -32,55 +32,58 @@
   ResultPage page;
   page.status = co_await find(host, key, page.job);
   if (page.status != LookupStatus::kFound) co_return page;
-  const bool whole = position >= page.job->submission.items.size();
-  const auto is_known = [&] { return results_[key].listed().size() > position; };
-  TimePoint give_up = monotonic_now() + kCallerPatience;
-  if (!whole && !is_known()) {
-    LogStatus status = co_await list_position(key, position, give_up);
-    if (status == LogStatus::kOk && wait.count() > 0 && !is_known()) {
-      co_await pause(std::min(wait, kResultWait));
-      give_up = monotonic_now() + kCallerPatience;
-      status = co_await list_position(key, position, give_up);
+  const bool is_past_end = position >= page.job->submission.items.size();
+  const auto is_read = [&] { return results_[key].listed().size() > position; };
+  TimePoint deadline = monotonic_now() + kCallerPatience;
+  if (!is_past_end && !is_read()) {
+    LogStatus status = co_await refresh_to_position(key, position, deadline);
+    if (status == LogStatus::kOk && wait.count() > 0 && !is_read()) {
+      co_await sleep_for(std::min(wait, kResultWait));
+      deadline = monotonic_now() + kCallerPatience;
+      status = co_await refresh_to_position(key, position, deadline);
     }
     if (status != LogStatus::kOk) page.status = LookupStatus::kUncertain;
     if (status != LogStatus::kOk) co_return page;
   }
-  if (!whole) co_await load_texts(key, position, give_up);
-  page.job = jobs_of(host).table->find(key);
+  if (!is_past_end) co_await load_texts(key, position, deadline);
+  page.job = partition_for_host(host).table->find(key);
   page.results = &results_[key];
   if (page.job == nullptr) page.status = LookupStatus::kAbsent;
-  if (page.job != nullptr && is_known() && !page.results->listed()[position].has_text()) {
+  if (page.job != nullptr && is_read() && !page.results->listed()[position].has_text()) {
     page.status = LookupStatus::kUncertain;
   }
   co_return page;
 }
 
-asio::awaitable<LogStatus> JobStore::list_position(JobKey key, std::uint64_t position,
-                                                   TimePoint give_up) {
+asio::awaitable<LogStatus> JobStore::refresh_to_position(JobKey key, std::uint64_t position,
+                                                         TimePoint deadline) {
   // Polls reach any node: most find one that is behind the caller, who has the texts in between.
   const ListedResults& known = results_[key];
-  const bool follows = known.next_offset() > 0 && known.listed().size() == position;
-  const ResultsBy by = follows ? ResultsBy::kOffset : ResultsBy::kKey;
-  co_return co_await refresh_results(std::move(key), give_up, by);
+  const bool is_next_position = known.next_offset() > 0 && known.listed().size() == position;
+  const ResultReadMode mode = is_next_position ? ResultReadMode::kOffset : ResultReadMode::kKey;
+  co_return co_await refresh_results(std::move(key), deadline, mode);
 }
 
-asio::awaitable<LogStatus> JobStore::refresh_results(JobKey key, TimePoint give_up) {
-  co_return co_await refresh_results(std::move(key), give_up, ResultsBy::kKey);
+asio::awaitable<LogStatus> JobStore::refresh_results(JobKey key, TimePoint deadline) {
+  co_return co_await refresh_results(std::move(key), deadline, ResultReadMode::kKey);
 }
 
-asio::awaitable<LogStatus> JobStore::refresh_results(JobKey key, TimePoint give_up, ResultsBy by) {
-  const std::shared_ptr<ResultReads> reads = reads_of(key);
+asio::awaitable<LogStatus> JobStore::refresh_results(JobKey key, TimePoint deadline,
+                                                     ResultReadMode mode) {
+  const std::shared_ptr<ResultReads> reads = result_reads_for(key);
   // Callers may ask in either way: both bring the list up to date.
-  const SharedRead::Read read = [this, key, reads, by] { return read_new_results(key, reads, by); };
-  co_return co_await reads->refresh.run(read, give_up);
+  const SharedRead::Read read = [this, key, reads, mode] {
+    return read_new_results(key, reads, mode);
+  };
+  co_return co_await reads->refresh.run(read, deadline);
 }
 
 asio::awaitable<LogStatus> JobStore::read_new_results(JobKey key,
                                                       std::shared_ptr<ResultReads> reads,
-                                                      ResultsBy by) {
+                                                      ResultReadMode mode) {
   const PartitionName partition = partition_of(JobData::kResults, key);
   while (true) {
-    const RecordOffset next = by == ResultsBy::kKey ? 0 : results_[key].next_offset();
+    const RecordOffset next = mode == ResultReadMode::kKey ? 0 : results_[key].next_offset();
     const KeyRange unread = results_[key].unread_range(key);
     ResultsRead read =
         co_await data_.read_results(key, partition, next, unread, reads->bounds, reads->newest);
@@ -88,27 +91,28 @@
     if (status == LogStatus::kUnknown) reads->bounds.ask_for_less();
     if (status != LogStatus::kOk) co_return status;
     results_[key].add(std::move(read.records));
-    count_results();
+    update_result_memory();
     if (read.at_end) co_return status;
     // What was added while pages were read, maybe some reads ago.
-    by = ResultsBy::kOffset;
+    mode = ResultReadMode::kOffset;
   }
 }
 
-asio::awaitable<void> JobStore::load_texts(JobKey key, std::uint64_t position, TimePoint give_up) {
-  const std::shared_ptr<ResultReads> reads = reads_of(key);
+asio::awaitable<void> JobStore::load_texts(JobKey key, std::uint64_t position, TimePoint deadline) {
+  const std::shared_ptr<ResultReads> reads = result_reads_for(key);
   const SharedRead::Read read = [this, key, reads] { return read_texts(key, reads); };
   while (!results_[key].unread_texts(position, kResultPageBytes).empty()) {
-    reads->texts_from = std::min(reads->texts_from, position);
-    const LogStatus status = co_await reads->texts.run(read, give_up);
+    reads->first_needed_text = std::min(reads->first_needed_text, position);
+    const LogStatus status = co_await reads->texts.run(read, deadline);
     if (status != LogStatus::kOk) co_return;
   }
 }
 
 asio::awaitable<LogStatus> JobStore::read_texts(JobKey key, std::shared_ptr<ResultReads> reads) {
   const std::uint64_t position =
-      std::exchange(reads->texts_from, std::numeric_limits<std::uint64_t>::max());
-  std::vector<ListedResult::Unread> wanted = results_[key].unread_texts(position, kResultPageBytes);
+      std::exchange(reads->first_needed_text, std::numeric_limits<std::uint64_t>::max());
+  std::vector<ListedResult::UnreadText> wanted =
+      results_[key].unread_texts(position, kResultPageBytes);
   if (wanted.empty()) co_return LogStatus::kOk;
   const std::string first_key = wanted.front().key;
   const PartitionName partition = partition_of(JobData::kResults, key);
@@ -117,12 +121,12 @@
   if (status == LogStatus::kOk) reads->text_bounds.ask_for_more();
   if (status == LogStatus::kUnknown) reads->text_bounds.ask_for_less();
   results_[key].add_texts(std::move(read.records));
-  count_results();
+  update_result_memory();
   if (status != LogStatus::kOk) co_return status;
   // A text that is not where its listing says: nothing is answered in its place.
   const auto missing = results_[key].unread_texts(position, kResultPageBytes);
-  const bool came = missing.empty() || missing.front().key != first_key;
-  co_return came ? LogStatus::kOk : LogStatus::kUnknown;
+  const bool first_text_read = missing.empty() || missing.front().key != first_key;
+  co_return first_text_read ? LogStatus::kOk : LogStatus::kUnknown;
 }
 
 }  // namespace stoathold
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -4,7 +4,7 @@
 
 namespace stoathold {
 
-void JobTable::tell(const JobKey& key, const JobEntry& job) const {
+void JobTable::notify(const JobKey& key, const JobEntry& job) const {
   if (listener_ && !replaying_) listener_(key, job);
 }
 
@@ -12,7 +12,7 @@
   const auto found = jobs_.find(key);
   if (found == jobs_.end()) return;
   found->second.finished = true;
-  tell(key, found->second);
+  notify(key, found->second);
   jobs_.erase(found);
 }
 
@@ -24,7 +24,7 @@
     return;
   }
   const auto [position, added] = jobs_.emplace(key, std::move(entry));
-  if (added) tell(key, position->second);
+  if (added) notify(key, position->second);
 }
 
 void JobTable::apply(const StoredRecord& record) {
@@ -44,13 +44,13 @@
   JobEntry& job = found->second;
   std::uint64_t tokens = 0;
   switch (kind) {
-    case JobRecordKind::kEnded:
+    case JobRecordKind::kCancelled:
       job.ended = true;
-      tell(key, job);
+      notify(key, job);
       break;
     case JobRecordKind::kFinished:
       job.finished = true;
-      tell(key, job);
+      notify(key, job);
       break;
     case JobRecordKind::kProgress:
       if (decode_tokens(record.value, tokens)) {
@@ -63,7 +63,7 @@
 }
 
 void JobTable::reset(const std::vector<StoredRecord>& newest) {
-  std::map<JobKey, JobEntry> before = std::move(jobs_);
+  std::map<JobKey, JobEntry> previous = std::move(jobs_);
   jobs_.clear();
   // In the order of the log a job's submission comes before the mark that it is finished: nobody is
   // told of a job before all of its records are applied.
@@ -72,16 +72,16 @@
   replaying_ = false;
   // A progress count that was written late may lie behind what was known here.
   for (auto& [key, job] : jobs_) {
-    const auto known = before.find(key);
-    if (known == before.end()) continue;
+    const auto known = previous.find(key);
+    if (known == previous.end()) continue;
     job.finished_tokens = std::max(job.finished_tokens, known->second.finished_tokens);
   }
-  for (auto& [key, job] : before) {
+  for (auto& [key, job] : previous) {
     if (jobs_.contains(key)) continue;
     job.finished = true;
-    tell(key, job);
+    notify(key, job);
   }
-  for (const auto& [key, job] : jobs_) tell(key, job);
+  for (const auto& [key, job] : jobs_) notify(key, job);
 }
 
 const JobEntry* JobTable::find(const JobKey& key) const {
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -42,7 +42,7 @@
  private:
   void apply_submission(const JobKey& key, const StoredRecord& record);
   void remove(const JobKey& key);
-  void tell(const JobKey& key, const JobEntry& job) const;
+  void notify(const JobKey& key, const JobEntry& job) const;
 
   Listener listener_;
   std::map<JobKey, JobEntry> jobs_;
--- a/src/jobs/listed_results.cc
+++ b/src/jobs/listed_results.cc
@@ -36,7 +36,7 @@
 
 void ListedResults::add_record(StoredRecord& record) {
   if (is_text_record_key(record.key)) {
-    last_text_ = std::move(record);
+    pending_text_ = std::move(record);
     return;
   }
   ResultListing listing;
@@ -49,7 +49,7 @@
     bytes_ += sizeof(ListedResult) + result.text.size();
     listed_.push_back({result.item, result.state, std::move(result.text)});
   }
-  last_text_ = StoredRecord();
+  pending_text_ = StoredRecord();
 }
 
 void ListedResults::add_listing(const ResultListing& listing, const StoredRecord& record) {
@@ -59,15 +59,15 @@
   listed.state = listing.state;
   bytes_ += sizeof(ListedResult);
   std::string text_key = text_record_key(record.key, listing.written_ms);
-  if (last_text_.key == text_key) {
-    listed.text = std::move(last_text_.value);
+  if (pending_text_.key == text_key) {
+    listed.text = std::move(pending_text_.value);
     bytes_ += listed.text.size();
     return;
   }
   bytes_ += text_key.size();
   // Both were appended together, the text first.
   const RecordOffset text_offset = record.offset > 0 ? record.offset - 1 : 0;
-  listed.unread = {std::move(text_key), text_offset, listing.text_bytes};
+  listed.unread_text = {std::move(text_key), text_offset, listing.text_bytes};
 }
 
 void ListedResults::add_texts(std::vector<StoredRecord> records) {
@@ -75,23 +75,23 @@
   for (auto& record : records) texts.emplace(std::move(record.key), std::move(record.value));
   for (auto& listed : listed_) {
     if (listed.has_text()) continue;
-    const auto found = texts.find(listed.unread->key);
+    const auto found = texts.find(listed.unread_text->key);
     if (found == texts.end() || found->second.empty()) continue;
     bytes_ += found->second.size();
     bytes_ -= found->first.size();
     listed.text = std::move(found->second);
-    listed.unread.reset();
+    listed.unread_text.reset();
   }
 }
 
-std::vector<ListedResult::Unread> ListedResults::unread_texts(std::uint64_t position,
-                                                              std::uint64_t most_bytes) const {
-  std::vector<ListedResult::Unread> texts;
+std::vector<ListedResult::UnreadText> ListedResults::unread_texts(std::uint64_t position,
+                                                                  std::uint64_t max_bytes) const {
+  std::vector<ListedResult::UnreadText> texts;
   std::uint64_t bytes = 0;
-  for (; position < listed_.size() && bytes < most_bytes; ++position) {
+  for (; position < listed_.size() && bytes < max_bytes; ++position) {
     const ListedResult& listed = listed_[position];
-    bytes += listed.has_text() ? listed.text.size() : listed.unread->bytes;
-    if (!listed.has_text()) texts.push_back(*listed.unread);
+    bytes += listed.has_text() ? listed.text.size() : listed.unread_text->bytes;
+    if (!listed.has_text()) texts.push_back(*listed.unread_text);
   }
   return texts;
 }
--- a/src/jobs/listed_results.h
+++ b/src/jobs/listed_results.h
@@ -17,14 +17,14 @@
   ItemState state = ItemState::kCompleted;
   std::string text;
   /// Where its text lies while that was not read yet.
-  struct Unread {
+  struct UnreadText {
     std::string key;
     RecordOffset offset = 0;
     std::uint64_t bytes = 0;
   };
-  std::optional<Unread> unread{};
+  std::optional<UnreadText> unread_text{};
 
-  [[nodiscard]] bool has_text() const { return !unread; }
+  [[nodiscard]] bool has_text() const { return !unread_text; }
 };
 
 /// The results of one job as far as they were read. Of an item's results the first in the order of
@@ -40,8 +40,8 @@
   void add_texts(std::vector<StoredRecord> records);
   /// Returns the texts that a reader from a position on lacks, ascending by offset.
   /// @param most_bytes of texts after which it goes no further, but for one text alone.
-  [[nodiscard]] std::vector<ListedResult::Unread> unread_texts(std::uint64_t position,
-                                                               std::uint64_t most_bytes) const;
+  [[nodiscard]] std::vector<ListedResult::UnreadText> unread_texts(std::uint64_t position,
+                                                                   std::uint64_t max_bytes) const;
   /// Keys that a read must ask for: a job's items are run about in their order, so those in front
   /// of the first one that is not listed need not be read again.
   [[nodiscard]] KeyRange unread_range(const JobKey& key) const;
@@ -62,7 +62,7 @@
   std::uint32_t first_unlisted_ = 0;
   std::uint64_t bytes_ = 0;
   RecordOffset read_through_ = 0;  ///< All records in front of this offset are taken in.
-  StoredRecord last_text_;         ///< A text whose listing comes next; else without a key.
+  StoredRecord pending_text_;      ///< A text whose listing comes next; else without a key.
 };
 
 /// How far the items of one job came, by item.
--- a/src/jobs/result_writer.cc
+++ b/src/jobs/result_writer.cc
@@ -18,12 +18,12 @@
 /// Most bytes of one append.
 constexpr std::uint64_t kMaxAppendBytes = 256UL * 1024;
 /// Appends under way at once: 1 MB in all, which 30 Mbit/s carry in 0.3 s.
-constexpr int kMaxWriters = 4;
+constexpr int kMaxConcurrentWriters = 4;
 /// Bytes of a record that are not the text.
-constexpr std::uint64_t kRecordOverhead = 600;
+constexpr std::uint64_t kRecordOverheadBytes = 600;
 
-std::uint64_t held_bytes(const ItemResult& result) {
-  return result.text.size() + kRecordOverhead;
+std::uint64_t estimated_bytes(const ItemResult& result) {
+  return result.text.size() + kRecordOverheadBytes;
 }
 
 }  // namespace
@@ -37,37 +37,37 @@
 void ResultWriter::add(ItemResult result) {
   const PartitionName partition = store_.partition_of(JobData::kResults, result.job);
   const auto [queue, added] = queues_.try_emplace(partition);
-  pending_bytes_ += held_bytes(result);
-  held_.resize(pending_bytes_);
+  pending_bytes_ += estimated_bytes(result);
+  memory_.resize(pending_bytes_);
   queue->second.push_back(std::move(result));
   ++pending_;
   if (!added) return;
-  waiting_.push_back(partition);
+  waiting_partitions_.push_back(partition);
   start_writers();
 }
 
 void ResultWriter::start_writers() {
-  if (waiting_.empty() || writers_ >= kMaxWriters) return;
+  if (waiting_partitions_.empty() || writers_ >= kMaxConcurrentWriters) return;
   ++writers_;
-  asio::co_spawn(executor_, write_waiting(), asio::detached);
+  asio::co_spawn(executor_, write_queued(), asio::detached);
 }
 
-asio::awaitable<void> ResultWriter::write_waiting() {
-  while (!waiting_.empty()) {
-    const PartitionName partition = waiting_.front();
-    waiting_.pop_front();
+asio::awaitable<void> ResultWriter::write_queued() {
+  while (!waiting_partitions_.empty()) {
+    const PartitionName partition = waiting_partitions_.front();
+    waiting_partitions_.pop_front();
     co_await write(partition);
   }
   --writers_;
 }
 
-ResultWriter::Queue ResultWriter::take_some(Queue& queue) const {
-  const std::uint64_t most = std::min(append_size_.bytes(), store_.limits().call_bytes);
+ResultWriter::Queue ResultWriter::take_batch(Queue& queue) const {
+  const std::uint64_t max_bytes = std::min(append_size_.bytes(), store_.limits().call_bytes);
   Queue results;
   std::uint64_t bytes = 0;
   while (!queue.empty()) {
-    bytes += held_bytes(queue.front());
-    if (!results.empty() && bytes > most) break;
+    bytes += estimated_bytes(queue.front());
+    if (!results.empty() && bytes > max_bytes) break;
     results.push_back(std::move(queue.front()));
     queue.pop_front();
   }
@@ -88,15 +88,15 @@
   Backoff backoff;
   Timer timer(executor_);
   while (!queue.empty()) {
-    Queue results = take_some(queue);
+    Queue results = take_batch(queue);
     std::vector<KeyedRecord> records = records_of(results);
     const LogStatus status = co_await store_.append_records(partition, std::move(records));
     append_size_.observe(status);
     if (status == LogStatus::kOk) {
       backoff.reset();
       pending_ -= results.size();
-      for (const auto& result : results) pending_bytes_ -= held_bytes(result);
-      held_.resize(pending_bytes_);
+      for (const auto& result : results) pending_bytes_ -= estimated_bytes(result);
+      memory_.resize(pending_bytes_);
       for (const auto& result : results) listener_(result);
       continue;
     }
--- a/src/jobs/result_writer.h
+++ b/src/jobs/result_writer.h
@@ -24,8 +24,8 @@
   ResultWriter(boost::asio::any_io_executor executor, JobStore& store, Listener listener);
 
   /// Counts the results that are not durable yet. The budget outlives the writer.
-  void count_in(MemoryBudget& budget) {
-    held_ = budget.charge(MemoryAccount::kJobResults, pending_bytes_);
+  void charge_to(MemoryBudget& budget) {
+    memory_ = budget.charge(MemoryAccount::kJobResults, pending_bytes_);
   }
   void add(ItemResult result);
   /// Results that are queued or in flight.
@@ -36,22 +36,22 @@
 
   void start_writers();
   /// Writes the results of one partition after the other.
-  boost::asio::awaitable<void> write_waiting();
+  boost::asio::awaitable<void> write_queued();
   boost::asio::awaitable<void> write(PartitionName partition);
   /// Takes results that fit into one append.
-  Queue take_some(Queue& queue) const;
+  Queue take_batch(Queue& queue) const;
   [[nodiscard]] std::vector<KeyedRecord> records_of(const Queue& results) const;
 
   boost::asio::any_io_executor executor_;
   JobStore& store_;
   Listener listener_;
-  std::map<PartitionName, Queue> queues_;  ///< Of the partitions that wait or are written.
-  std::deque<PartitionName> waiting_;      ///< In the order in which they came.
+  std::map<PartitionName, Queue> queues_;         ///< Of the partitions that wait or are written.
+  std::deque<PartitionName> waiting_partitions_;  ///< In the order in which they came.
   int writers_ = 0;
   AppendSize append_size_;
   std::size_t pending_ = 0;
   std::uint64_t pending_bytes_ = 0;
-  MemoryReservation held_;  ///< Of the pending bytes.
+  MemoryReservation memory_;  ///< Of the pending bytes.
 };
 
 }  // namespace stoathold
--- a/src/jobs/slot_membership.cc
+++ b/src/jobs/slot_membership.cc
@@ -17,7 +17,7 @@
 /// Silence after which a member's slots pass to others.
 constexpr Duration kTimeToLive = std::chrono::milliseconds(2500);
 /// A member says this often that it lives: three may be lost.
-constexpr Duration kHeartbeat = std::chrono::milliseconds(800);
+constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(800);
 
 std::set<std::uint32_t> difference(const std::set<std::uint32_t>& left,
                                    const std::set<std::uint32_t>& right) {
@@ -37,7 +37,7 @@
   member_.time_to_live = std::max(kTimeToLive, log.limits().minimum_time_to_live);
 }
 
-asio::awaitable<void> SlotMembership::take_over(GroupAssignment assignment) {
+asio::awaitable<void> SlotMembership::apply_assignment(GroupAssignment assignment) {
   const std::set<std::uint32_t> held(assignment.slots.begin(), assignment.slots.end());
   const std::set<std::uint32_t> lost = difference(slots_, held);
   const std::set<std::uint32_t> gained = difference(held, slots_);
@@ -51,12 +51,12 @@
   if (!gained.empty() && !leaving_) handlers_.gained(gained);
 }
 
-asio::awaitable<void> SlotMembership::list_members() {
+asio::awaitable<void> SlotMembership::refresh_members() {
   const std::uint64_t generation = member_.generation;
   const MemberList list = co_await log_.members(kGroup);
   if (list.status != LogStatus::kOk) co_return;
-  listed_generation_ = generation;
-  if (handlers_.members) handlers_.members(list.names);
+  members_generation_ = generation;
+  if (handlers_.members_changed) handlers_.members_changed(list.names);
 }
 
 asio::awaitable<void> SlotMembership::run() {
@@ -66,17 +66,17 @@
   while (!leaving_) {
     const GroupAssignment assignment = co_await log_.join(member_);
     if (leaving_) co_return;
-    Duration wait = kHeartbeat;
+    Duration wait = kHeartbeatInterval;
     if (assignment.status == LogStatus::kOk) {
       backoff.reset();
       if (!reachable) log_event(Event::kStoreRegained, {{"member", member_.name}});
       reachable = true;
       const bool changed = assignment.generation != member_.generation;
       member_.generation = assignment.generation;
-      co_await take_over(assignment);
+      co_await apply_assignment(assignment);
       // The others wait for this member to say that it has heard of the change.
       if (changed) wait = Duration{0};
-      if (!changed && listed_generation_ != member_.generation) co_await list_members();
+      if (!changed && members_generation_ != member_.generation) co_await refresh_members();
     } else {
       if (reachable) {
         log_event(Event::kStoreLost, {{"member", member_.name},
--- a/src/jobs/slot_membership.h
+++ b/src/jobs/slot_membership.h
@@ -19,7 +19,7 @@
   /// Slots are to be given up: returns once progress is written. Only then do they pass to another.
   std::function<boost::asio::awaitable<void>(std::set<std::uint32_t>)> lost;
   /// The members of the group, this one among them, after each change.
-  std::function<void(const std::vector<std::string>&)> members;
+  std::function<void(const std::vector<std::string>&)> members_changed;
 };
 
 /// Stays in the group for as long as the process runs. A slot that is held is a hint, not a right:
@@ -39,15 +39,15 @@
   [[nodiscard]] const std::set<std::uint32_t>& slots() const { return slots_; }
 
  private:
-  boost::asio::awaitable<void> list_members();
-  boost::asio::awaitable<void> take_over(GroupAssignment assignment);
+  boost::asio::awaitable<void> refresh_members();
+  boost::asio::awaitable<void> apply_assignment(GroupAssignment assignment);
 
   boost::asio::any_io_executor executor_;
   RecordLog& log_;
   GroupMember member_;
   SlotHandlers handlers_;
   std::set<std::uint32_t> slots_;
-  std::uint64_t listed_generation_ = 0;
+  std::uint64_t members_generation_ = 0;
   bool leaving_ = false;
 };
 
--- a/src/jobs/stage_metrics.cc
+++ b/src/jobs/stage_metrics.cc
@@ -7,13 +7,13 @@
                     "Jobs that wait to be read.",
                     static_cast<double>(summary.jobs_queued),
                     {}});
-  for (std::size_t i = 0; i < kItemStages; ++i) {
+  for (std::size_t i = 0; i < kItemStageCount; ++i) {
     gauges.push_back({"stoathold_open_items",
                       "Open batch items of this node by stage.",
                       static_cast<double>(summary.stages[i].items),
                       {"stage", std::string(to_string(static_cast<ItemStage>(i)))}});
   }
-  for (std::size_t i = 0; i < kItemStages; ++i) {
+  for (std::size_t i = 0; i < kItemStageCount; ++i) {
     gauges.push_back({"stoathold_open_item_oldest_seconds",
                       "Longest time that an open item has been in its stage.",
                       to_seconds(summary.stages[i].oldest),
--- a/tests/jobs/checkpoint_table_test.cc
+++ b/tests/jobs/checkpoint_table_test.cc
@@ -15,33 +15,33 @@
   return progress;
 }
 
-TEST(CheckpointTableTest, WhatIsWrittenIsNoNewsUntilTheItemGoesOn) {
+TEST(CheckpointTableTest, DurableProgressIsNotWrittenAgainUntilItAdvances) {
   CheckpointTable table;
-  EXPECT_TRUE(table.is_news(make_progress("j1", 3, 7), nullptr));
-  table.written(make_progress("j1", 3, 7));
-  EXPECT_FALSE(table.is_news(make_progress("j1", 3, 7), nullptr));
-  EXPECT_TRUE(table.is_news(make_progress("j1", 3, 8), nullptr));
-  EXPECT_TRUE(table.is_news(make_progress("j1", 3, 7, 1), nullptr));
-  EXPECT_TRUE(table.is_news(make_progress("j1", 4, 7), nullptr));
+  EXPECT_TRUE(table.is_newer_than_durable(make_progress("j1", 3, 7), nullptr));
+  table.mark_durable(make_progress("j1", 3, 7));
+  EXPECT_FALSE(table.is_newer_than_durable(make_progress("j1", 3, 7), nullptr));
+  EXPECT_TRUE(table.is_newer_than_durable(make_progress("j1", 3, 8), nullptr));
+  EXPECT_TRUE(table.is_newer_than_durable(make_progress("j1", 3, 7, 1), nullptr));
+  EXPECT_TRUE(table.is_newer_than_durable(make_progress("j1", 4, 7), nullptr));
 }
 
-TEST(CheckpointTableTest, WhatWasReadFromTheLogIsNoNewsEither) {
+TEST(CheckpointTableTest, ProgressReadFromTheLogIsNotWrittenAgain) {
   const CheckpointTable table;
   const ItemProgress read = make_progress("j1", 3, 7);
-  EXPECT_FALSE(table.is_news(make_progress("j1", 3, 7), &read));
-  EXPECT_TRUE(table.is_news(make_progress("j1", 3, 9), &read));
+  EXPECT_FALSE(table.is_newer_than_durable(make_progress("j1", 3, 7), &read));
+  EXPECT_TRUE(table.is_newer_than_durable(make_progress("j1", 3, 9), &read));
 }
 
-TEST(CheckpointTableTest, AJobThatComesBackIsWrittenAnew) {
+TEST(CheckpointTableTest, ProgressOfAReturningJobIsWrittenAgain) {
   // Meanwhile another node may have run it, and written less.
   CheckpointTable table;
-  table.written(make_progress("j1", 0, 7));
-  table.written(make_progress("j1", 9, 7));
-  table.written(make_progress("j2", 0, 7));
-  table.forget("j1");
-  EXPECT_TRUE(table.is_news(make_progress("j1", 0, 7), nullptr));
-  EXPECT_TRUE(table.is_news(make_progress("j1", 9, 7), nullptr));
-  EXPECT_FALSE(table.is_news(make_progress("j2", 0, 7), nullptr));
+  table.mark_durable(make_progress("j1", 0, 7));
+  table.mark_durable(make_progress("j1", 9, 7));
+  table.mark_durable(make_progress("j2", 0, 7));
+  table.remove_job("j1");
+  EXPECT_TRUE(table.is_newer_than_durable(make_progress("j1", 0, 7), nullptr));
+  EXPECT_TRUE(table.is_newer_than_durable(make_progress("j1", 9, 7), nullptr));
+  EXPECT_FALSE(table.is_newer_than_durable(make_progress("j2", 0, 7), nullptr));
 }
 
 }  // namespace
--- a/tests/jobs/faulty_record_log.h
+++ b/tests/jobs/faulty_record_log.h
@@ -17,19 +17,19 @@
 
 /// Faults of the next calls. Counts go down as they are used.
 struct LogFaults {
-  bool down = false;                 ///< Every call is refused; nothing is done.
-  bool spare_reads = false;          ///< Reads are answered even so.
-  int lose_answers = 0;              ///< Appends are done, but the answer is lost.
-  int drop_appends = 0;              ///< Appends are not done, and there is no answer.
-  int late_appends = 0;              ///< No answer; done when `apply_late` is called.
-  std::string topic;                 ///< Appends to other topics are spared; empty: none are.
-  std::function<void()> after_late;  ///< Called after an append was kept back.
+  bool down = false;         ///< Every call is refused; nothing is done.
+  bool allow_reads = false;  ///< Reads are answered even so.
+  int lose_answers = 0;      ///< Appends are done, but the answer is lost.
+  int drop_appends = 0;      ///< Appends are not done, and there is no answer.
+  int delayed_appends = 0;   ///< No answer; done when `apply_late` is called.
+  std::string topic;         ///< Appends to other topics are spared; empty: none are.
+  std::function<void()> after_delayed_append;  ///< Called after an append was kept back.
 };
 
 /// Times under which retries take no time worth mentioning.
 inline JobStoreTiming quick_timing() {
   JobStoreTiming timing;
-  timing.settle_time = std::chrono::milliseconds(20);
+  timing.operation_timeout = std::chrono::milliseconds(20);
   timing.retries = {std::chrono::microseconds(10), std::chrono::microseconds(100)};
   return timing;
 }
@@ -58,14 +58,14 @@
   std::vector<std::uint32_t> held_slots;
   /// How long a read of the newest records takes, and the most such reads that were under way at
   /// once.
-  Duration newest_time{0};
-  int most_newest_at_once = 0;
+  Duration newest_read_time{0};
+  int max_concurrent_newest_reads = 0;
   /// Records that reads answered.
   std::size_t records_read = 0;
 
   /// Does the appends that were kept back, if their conditions still hold.
-  void apply_late() {
-    const auto kept = std::exchange(late_, {});
+  void apply_delayed() {
+    const auto kept = std::exchange(delayed_, {});
     for (const auto& append : kept) append();
   }
 
@@ -75,7 +75,7 @@
                                           std::uint64_t max_bytes, Duration wait) override {
     ReadResult result;
     result.status = LogStatus::kNotDone;
-    if (!faults.down || faults.spare_reads) result = model_->read(partition, from, max_bytes);
+    if (!faults.down || faults.allow_reads) result = model_->read(partition, from, max_bytes);
     if (result.status == LogStatus::kOk && result.records.empty() && wait.count() > 0) {
       boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor, wait);
       co_await timer.async_wait(boost::asio::use_awaitable);
@@ -88,19 +88,19 @@
                                               std::vector<KeyedRecord> records,
                                               std::optional<RecordOffset> expected_end) override {
     AppendResult result;
-    const bool spared = !faults.topic.empty() && faults.topic != partition.topic;
-    if (spared) {
+    const bool exempt = !faults.topic.empty() && faults.topic != partition.topic;
+    if (exempt) {
       result = model_->append(partition, records, expected_end);
     } else if (faults.down) {
       result.status = LogStatus::kNotDone;
     } else if (faults.drop_appends > 0) {
       --faults.drop_appends;
-    } else if (faults.late_appends > 0) {
-      --faults.late_appends;
-      late_.push_back([model = model_, partition, records, expected_end] {
+    } else if (faults.delayed_appends > 0) {
+      --faults.delayed_appends;
+      delayed_.push_back([model = model_, partition, records, expected_end] {
         model->append(partition, records, expected_end);
       });
-      if (faults.after_late) faults.after_late();
+      if (faults.after_delayed_append) faults.after_delayed_append();
     } else {
       result = model_->append(partition, records, expected_end);
       if (result.status == LogStatus::kOk) ++appends;
@@ -116,11 +116,11 @@
                                                  Duration /*patience*/) override {
     ReadResult result;
     result.status = LogStatus::kNotDone;
-    if (newest_time.count() > 0) {
-      most_newest_at_once = std::max(most_newest_at_once, ++newest_under_way_);
-      boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor, newest_time);
+    if (newest_read_time.count() > 0) {
+      max_concurrent_newest_reads = std::max(max_concurrent_newest_reads, ++active_newest_reads_);
+      boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor, newest_read_time);
       co_await timer.async_wait(boost::asio::use_awaitable);
-      --newest_under_way_;
+      --active_newest_reads_;
     }
     if (!faults.down) result = model_->read_newest(partition, range);
     records_read += result.records.size();
@@ -146,8 +146,8 @@
  private:
   std::shared_ptr<emulator::LogModel> model_;
   LogLimits limits_;
-  std::vector<std::function<void()>> late_;
-  int newest_under_way_ = 0;
+  std::vector<std::function<void()>> delayed_;
+  int active_newest_reads_ = 0;
 };
 
 }  // namespace stoathold
--- a/tests/jobs/item_run_test.cc
+++ b/tests/jobs/item_run_test.cc
@@ -10,7 +10,7 @@
 
 // Events were once taken from tokens, so that the work left was overstated by the tokens of an
 // event, and every item counted as late from its first moment.
-TEST(ItemRunTest, TheWorkLeftIsCountedInEvents) {
+TEST(ItemRunTest, RemainingTimeIsEstimatedInEvents) {
   boost::asio::io_context loop;
   GatewayContext context(loop.get_executor(), HeaderDialect{}, "zone");
   context.answer_pace.observe_gap("", std::chrono::milliseconds(34));
@@ -21,7 +21,7 @@
   progress.last_event = 42;
   const auto run =
       std::make_shared<ItemRun>(context, ItemContext{}, request, progress, Duration{0});
-  EXPECT_EQ(run->schedule().rest, std::chrono::milliseconds(100 * 34));
+  EXPECT_EQ(run->schedule().remaining, std::chrono::milliseconds(100 * 34));
 }
 
 /// An item whose route a node's configuration lacks, and whether the store confirms that.
@@ -54,7 +54,7 @@
 };
 
 // Items of a route that had been added were given up by a node that did not have it yet.
-TEST(ItemRunTest, AnItemIsGivenUpForItsRouteOnlyIfTheConfigurationIsConfirmed) {
+TEST(ItemRunTest, ItemWithoutRouteIsDeadLetteredOnlyIfTheConfigurationIsConfirmed) {
   boost::asio::io_context loop;
   ItemWithoutRoute confirmed(loop, LogStatus::kOk);
   ItemWithoutRoute unconfirmed(loop, LogStatus::kUnknown);
--- a/tests/jobs/item_stages_test.cc
+++ b/tests/jobs/item_stages_test.cc
@@ -11,7 +11,7 @@
   return kStart + std::chrono::seconds(second);
 }
 
-TEST(ItemStagesTest, AJobThatIsNotReadCountsWithAllItsItems) {
+TEST(ItemStagesTest, UnreadJobCountsAllItsItemsAsQueued) {
   ItemStages stages;
   EXPECT_TRUE(stages.empty());
   stages.add_job("a", 7, at_second(0));
@@ -26,10 +26,10 @@
   EXPECT_FALSE(summary.oldest->index);
 }
 
-TEST(ItemStagesTest, AnItemIsInOneStageAndItsTimeThereBeginsWithIt) {
+TEST(ItemStagesTest, ItemIsInOneStageAndItsTimeStartsOnEntry) {
   ItemStages stages;
   stages.add_job("a", 2, at_second(0));
-  stages.job_read("a");
+  stages.mark_job_read("a");
   stages.enter("a", 0, ItemStage::kWaitingForTurn, at_second(1));
   stages.enter("a", 1, ItemStage::kWaitingForTurn, at_second(1));
   stages.enter("a", 1, ItemStage::kReadingRequest, at_second(4));
@@ -43,10 +43,10 @@
 }
 
 /// An item without a place is looked at anew every few seconds; it must not look young for that.
-TEST(ItemStagesTest, TheTimeInAStageGoesOnIfItIsEnteredAgain) {
+TEST(ItemStagesTest, TimeInStageContinuesIfTheStageIsReentered) {
   ItemStages stages;
   stages.add_job("a", 1, at_second(0));
-  stages.job_read("a");
+  stages.mark_job_read("a");
   stages.enter("a", 0, ItemStage::kWaitingForSlot, at_second(1));
   stages.enter("a", 0, ItemStage::kWaitingForSlot, at_second(9));
   const StageSummary summary = stages.summary(at_second(10));
@@ -54,11 +54,11 @@
 }
 
 /// An item that goes to and fro between stages is in none of them for long.
-TEST(ItemStagesTest, TheOldestItemIsOfTheJobThatIsHereForLongest) {
+TEST(ItemStagesTest, OldestItemBelongsToTheJobThatTheNodeRanForLongest) {
   ItemStages stages;
   stages.add_job("young", 1, at_second(5));
   stages.add_job("zeal", 2, at_second(0));
-  for (const char* job : {"young", "zeal"}) stages.job_read(job);
+  for (const char* job : {"young", "zeal"}) stages.mark_job_read(job);
   stages.enter("young", 0, ItemStage::kRunning, at_second(5));
   stages.enter("zeal", 0, ItemStage::kBackingOff, at_second(9));
   stages.enter("zeal", 1, ItemStage::kWaitingForSlot, at_second(8));
@@ -68,18 +68,18 @@
   EXPECT_EQ(summary.oldest->index, 1U);
   EXPECT_EQ(summary.oldest->stage, ItemStage::kWaitingForSlot);
   EXPECT_EQ(summary.oldest->time_in_stage, std::chrono::seconds(2));
-  EXPECT_EQ(summary.oldest->time_here, std::chrono::seconds(10));
+  EXPECT_EQ(summary.oldest->time_on_node, std::chrono::seconds(10));
 }
 
-TEST(ItemStagesTest, WhatIsDoneOrForgottenHasNoRow) {
+TEST(ItemStagesTest, RemovedItemsAndJobsAreNotTracked) {
   ItemStages stages;
   stages.add_job("a", 2, at_second(0));
-  stages.job_read("a");
+  stages.mark_job_read("a");
   stages.enter("a", 0, ItemStage::kRunning, at_second(1));
   stages.enter("a", 1, ItemStage::kRunning, at_second(1));
-  stages.leave("a", 0);
+  stages.remove_item("a", 0);
   EXPECT_EQ(stages.summary(at_second(2)).open_items, 1U);
-  stages.forget("a");
+  stages.remove_job("a");
   stages.enter("a", 1, ItemStage::kBackingOff, at_second(2));
   EXPECT_TRUE(stages.empty());
   EXPECT_FALSE(stages.summary(at_second(2)).oldest);
--- a/tests/jobs/job_memory_test.cc
+++ b/tests/jobs/job_memory_test.cc
@@ -18,7 +18,7 @@
 };
 
 // The rest of the process holds all that there is: one request at a time is read all the same.
-TEST_F(JobMemoryTest, JobsGoOnThoughNothingIsLeftForThem) {
+TEST_F(JobMemoryTest, JobsMakeProgressWithoutFreeMemory) {
   JobNode& node = add_node("node");
   MemoryBudget& memory = *node.context.memory;
   constexpr std::uint64_t kBudget = 10'000'000;
@@ -26,7 +26,7 @@
   const MemoryReservation others = memory.charge(MemoryAccount::kAnswers, kBudget);
   constexpr std::size_t kJobs = 8;
   for (std::size_t number = 1; number <= kJobs; ++number) submit(node, make_job(number));
-  node.take_up_jobs(add_runner(result_answer()));
+  node.run_jobs(add_runner(result_answer()));
   run_until_finished(node, kJobs);
   EXPECT_EQ(memory.used(MemoryAccount::kJobRequests), 0U);
   EXPECT_EQ(memory.used(MemoryAccount::kJobResults), 0U);
@@ -42,7 +42,7 @@
   JobNode& node = add_node("node");
   MemoryBudget& memory = *node.context.memory;
   submit(node, make_job(1));
-  node.take_up_jobs(add_runner(result_answer()));
+  node.run_jobs(add_runner(result_answer()));
   run_until_finished(node, 1);
   const JobKey key = make_job_key(kHost, job_id(1));
   ResultPage page = run_awaitable(loop, node.store.read_results(kHost, key, 0, Duration{0}));
@@ -54,7 +54,7 @@
 
   constexpr std::uint64_t kBudget = 1000;
   memory.set_limit(kBudget);
-  node.store.forget_erased();
+  node.store.drop_erased_jobs();
   EXPECT_EQ(memory.used(MemoryAccount::kListedResults), 0U);
   page = run_awaitable(loop, node.store.read_results(kHost, key, 0, Duration{0}));
   ASSERT_EQ(page.status, LookupStatus::kFound);
@@ -64,7 +64,7 @@
 }
 
 // A job that is not finished is needed as it is: positions are told to its readers.
-TEST_F(JobMemoryTest, ResultsOfOpenJobsStay) {
+TEST_F(JobMemoryTest, ResultsOfOpenJobsAreKept) {
   JobNode& node = add_node("node");
   submit(node, make_job(1));
   write_results(node, 1, {3, 1});
@@ -73,7 +73,7 @@
   ASSERT_EQ(page.status, LookupStatus::kFound);
   constexpr std::uint64_t kBudget = 1000;
   node.context.memory->set_limit(kBudget);
-  node.store.forget_erased();
+  node.store.drop_erased_jobs();
   EXPECT_GE(node.context.memory->used(MemoryAccount::kListedResults), 2 * kResultBytes);
 }
 
--- a/tests/jobs/job_model_test.cc
+++ b/tests/jobs/job_model_test.cc
@@ -49,10 +49,10 @@
 /// What the callers were told.
 struct Oracle {
   std::set<int> accepted;
-  std::set<int> uncertain;                       ///< May have been accepted.
-  std::map<int, std::vector<std::string>> seen;  ///< Longest list of results read.
+  std::set<int> uncertain;                               ///< May have been accepted.
+  std::map<int, std::vector<std::string>> results_seen;  ///< Longest list of results read.
   std::set<std::pair<int, std::uint32_t>> finished;
-  std::set<int> ended;
+  std::set<int> cancelled;
 };
 
 /// Over all runs, so that a check that tests nothing is noticed.
@@ -116,7 +116,7 @@
 }
 
 // The oracle needs what the system answered, so commands share this record of the run.
-Oracle& told() {
+Oracle& observed_answers() {
   static Oracle oracle;
   return oracle;
 }
@@ -127,12 +127,12 @@
 
   void run(const Oracle& /*before*/, Fleet& fleet) const override {
     ++totals().commands;
-    Oracle& oracle = told();
-    std::uint64_t waiting = 0;
+    Oracle& oracle = observed_answers();
+    std::uint64_t queued_tokens = 0;
     for (const int accepted : oracle.accepted) {
-      if (oracle.ended.contains(accepted)) continue;
+      if (oracle.cancelled.contains(accepted)) continue;
       for (std::uint32_t item = 0; item < kItems; ++item) {
-        if (!oracle.finished.contains({accepted, item})) waiting += kTokensPerItem;
+        if (!oracle.finished.contains({accepted, item})) queued_tokens += kTokensPerItem;
       }
     }
     const SubmitStatus status =
@@ -141,7 +141,7 @@
       const bool added = oracle.accepted.insert(job).second;
       ++totals().accepted;
       if (added && !oracle.uncertain.contains(job)) {
-        RC_ASSERT(waiting + kItems * kTokensPerItem <= kQueueLimit);
+        RC_ASSERT(queued_tokens + kItems * kTokensPerItem <= kQueueLimit);
       }
     } else if (status == SubmitStatus::kUncertain) {
       oracle.uncertain.insert(job);
@@ -152,14 +152,14 @@
   void show(std::ostream& os) const override { os << "submit " << job << " at " << node; }
 };
 
-struct Finish : Command {
+struct WriteResult : Command {
   int node = pick_node();
   int job = pick_job();
   std::uint32_t item = *rc::gen::inRange<std::uint32_t>(0, kItems);
 
   void run(const Oracle& /*before*/, Fleet& fleet) const override {
     ++totals().commands;
-    Oracle& oracle = told();
+    Oracle& oracle = observed_answers();
     if (!oracle.accepted.contains(job)) return;
     JobStore& store = *fleet.stores[node];
     const JobKey key = job_key(job);
@@ -179,8 +179,8 @@
 };
 
 /// What a caller was told at a position, without the item.
-std::string seen_text(const std::vector<std::string>& seen, std::size_t position) {
-  return seen[position].substr(seen[position].find('=') + 1);
+std::string result_text_seen(const std::vector<std::string>& results_seen, std::size_t position) {
+  return results_seen[position].substr(results_seen[position].find('=') + 1);
 }
 
 struct Read : Command {
@@ -189,9 +189,9 @@
 
   void run(const Oracle& /*before*/, Fleet& fleet) const override {
     ++totals().commands;
-    Oracle& oracle = told();
-    const auto& seen = oracle.seen[job];
-    const std::uint64_t position = seen.empty() ? 0 : seen.size() - 1;
+    Oracle& oracle = observed_answers();
+    const auto& results_seen = oracle.results_seen[job];
+    const std::uint64_t position = results_seen.empty() ? 0 : results_seen.size() - 1;
     const ResultPage page = run_awaitable(
         fleet.loop, fleet.stores[node]->read_results(kHost, job_key(job), position, Duration{0}));
     if (page.status == LookupStatus::kUncertain) return;
@@ -207,21 +207,22 @@
       // No read fails here, so only texts in front of the position may not have been read.
       const bool asked_for = texts.size() >= position;
       RC_ASSERT(result.has_text() || (!asked_for && result_bytes() > 0));
-      const std::string text = result.has_text() ? result.text : seen_text(seen, texts.size());
+      const std::string text =
+          result.has_text() ? result.text : result_text_seen(results_seen, texts.size());
       texts.push_back(std::to_string(result.item) + "=" + text);
       RC_ASSERT(items.insert(result.item).second);
     }
-    RC_ASSERT(texts.size() >= seen.size());
-    for (std::size_t i = 0; i < std::min(seen.size(), texts.size()); ++i) {
-      RC_ASSERT(texts[i] == seen[i]);
+    RC_ASSERT(texts.size() >= results_seen.size());
+    for (std::size_t i = 0; i < std::min(results_seen.size(), texts.size()); ++i) {
+      RC_ASSERT(texts[i] == results_seen[i]);
     }
     totals().results_read += texts.size();
-    if (texts.size() > seen.size()) oracle.seen[job] = texts;
+    if (texts.size() > results_seen.size()) oracle.results_seen[job] = texts;
   }
   void show(std::ostream& os) const override { os << "read " << job << " at " << node; }
 };
 
-struct ReadBody : Command {
+struct ReadRequests : Command {
   int node = pick_node();
   int job = pick_job();
 
@@ -249,7 +250,7 @@
   void show(std::ostream& os) const override { os << "crash " << node; }
 };
 
-struct BreakLog : Command {
+struct InjectFault : Command {
   int node = pick_node();
   int kind = *rc::gen::inRange(0, 5);
   int count = *rc::gen::inRange(1, 4);
@@ -259,8 +260,8 @@
     ++totals().faults;
     if (kind == 0) log.faults.lose_answers = count;
     if (kind == 1) log.faults.drop_appends = count;
-    if (kind == 2) log.faults.late_appends = count;
-    if (kind == 3) log.apply_late();
+    if (kind == 2) log.faults.delayed_appends = count;
+    if (kind == 3) log.apply_delayed();
     if (kind == 4) fleet.model->drop_history();
   }
   void show(std::ostream& os) const override {
@@ -276,12 +277,12 @@
 int main() {
   using namespace stoathold;
   const bool held = rc::check("jobs in the log keep what callers were told", [] {
-    told() = Oracle{};
+    observed_answers() = Oracle{};
     Fleet fleet;
     const Oracle initial;
-    rc::state::check(
-        initial, fleet,
-        rc::state::gen::execOneOfWithArgs<Submit, Finish, Read, ReadBody, Crash, BreakLog>());
+    rc::state::check(initial, fleet,
+                     rc::state::gen::execOneOfWithArgs<Submit, WriteResult, Read, ReadRequests,
+                                                       Crash, InjectFault>());
   });
   std::printf("%llu commands on jobs, %llu acceptances, %llu results read, %llu faults\n",
               static_cast<unsigned long long>(totals().commands),
--- a/tests/jobs/job_reads_fixture.h
+++ b/tests/jobs/job_reads_fixture.h
@@ -71,7 +71,7 @@
   }
 
   /// The node takes up all jobs and runs them at this runner, which has room for all items.
-  void take_up_jobs(const ScriptedRunner& scripted) {
+  void run_jobs(const ScriptedRunner& scripted) {
     constexpr std::uint32_t kSlots = 1000;
     context.runners.upsert({"r", "chat", scripted.address(), "zone", kSlots, false});
     store.follow_host(kHost);
--- a/tests/jobs/job_records_test.cc
+++ b/tests/jobs/job_records_test.cc
@@ -5,25 +5,25 @@
 namespace stoathold {
 namespace {
 
-TEST(JobRecordsTest, KeysOfOneJobLieTogether) {
+TEST(JobRecordsTest, KeysOfOneJobAreContiguous) {
   const JobKey key = make_job_key("a.example", "7c41");
   const KeyRange range = job_key_range(key);
   for (const std::string& record :
        {result_record_key(key, 7, "writer-1"), progress_record_key(key, 199),
-        body_record_key(key, "writer-1", 0, 3), body_record_key(key, "", 0, 3)}) {
+        request_record_key(key, "writer-1", 0, 3), request_record_key(key, "", 0, 3)}) {
     EXPECT_GT(record, range.after);
     EXPECT_LT(record, range.through);
     EXPECT_EQ(job_of_record_key(record), key);
   }
   const JobKey longer = make_job_key("a.example", "7c41b");
-  EXPECT_GT(body_record_key(longer, "", 0, 0), range.through);
+  EXPECT_GT(request_record_key(longer, "", 0, 0), range.through);
 }
 
 TEST(JobRecordsTest, JobIdsOfTwoHostsDiffer) {
   EXPECT_NE(make_job_key("a.example", "x"), make_job_key("b.example", "x"));
 }
 
-TEST(JobRecordsTest, RecordsSurviveEncodingAndDamageIsNoticed) {
+TEST(JobRecordsTest, RecordsRoundTripAndTruncationIsDetected) {
   ItemProgress progress{make_job_key("a.example", "x"), 3, 1, 42, "text"};
   const std::string bytes = encode(progress);
   ItemProgress read;
@@ -36,9 +36,9 @@
   }
 }
 
-TEST(JobRecordsTest, MarksAreParsedBack) {
+TEST(JobRecordsTest, JobsRecordKeysRoundTrip) {
   const JobKey key = make_job_key("a.example", "x.y");
-  for (const auto kind : {JobRecordKind::kSubmitted, JobRecordKind::kEnded,
+  for (const auto kind : {JobRecordKind::kSubmitted, JobRecordKind::kCancelled,
                           JobRecordKind::kFinished, JobRecordKind::kProgress}) {
     const auto parsed = parse_jobs_record_key(jobs_record_key(kind, key));
     ASSERT_TRUE(parsed);
--- a/tests/jobs/job_runner_test.cc
+++ b/tests/jobs/job_runner_test.cc
@@ -74,21 +74,21 @@
 /// its large neighbours needed 0.4 to 1.9 s. Jobs that were never read were never run.
 ///
 ///     job_load_retried  step=results  status=unknown
-TEST_F(JobRunnerTest, JobsThatAreTakenUpTogetherAreReadAFewAtATime) {
+TEST_F(JobRunnerTest, JobsStartedTogetherAreReadWithLimitedConcurrency) {
   constexpr std::size_t kJobs = 12;
   for (std::size_t i = 0; i < kJobs; ++i) submit_finished("j" + std::to_string(i));
-  log.newest_time = std::chrono::milliseconds(1);
+  log.newest_read_time = std::chrono::milliseconds(1);
   loop.restart();
   store.follow_host(kHost);
   runner.start();
   for (int turn = 0; turn < 100000 && finished_jobs() < kJobs; ++turn) loop.run_one();
   EXPECT_EQ(finished_jobs(), kJobs);
-  EXPECT_LE(log.most_newest_at_once, 2);
+  EXPECT_LE(log.max_concurrent_newest_reads, 2);
 }
 
 /// Without a configuration there is no route: a read item backs off, and is seen there until its
 /// slot is lost.
-TEST_F(JobRunnerTest, AnOpenItemIsSeenInItsStageUntilItIsNoLongerRunHere) {
+TEST_F(JobRunnerTest, OpenItemIsReportedInItsStageUntilTheNodeStopsRunningIt) {
   EXPECT_EQ(run_awaitable(loop, store.submit(make_job("open"))), SubmitStatus::kAccepted);
   submit_finished("done");
   loop.restart();
--- a/tests/jobs/job_store_test.cc
+++ b/tests/jobs/job_store_test.cc
@@ -12,7 +12,7 @@
 constexpr const char* kHost = "drafts.example";
 
 NewJob make_job(const std::string& id, std::size_t items, std::uint64_t tokens = 100,
-                std::size_t body_bytes = 10) {
+                std::size_t request_bytes = 10) {
   NewJob job;
   job.submission.id = id;
   job.submission.host = kHost;
@@ -25,7 +25,7 @@
     job.submission.items.push_back(item);
     ItemRequest request;
     request.path = "/drafts/" + std::to_string(i);
-    request.body = std::string(body_bytes, static_cast<char>('a' + i % 26));
+    request.body = std::string(request_bytes, static_cast<char>('a' + i % 26));
     job.requests.push_back(request);
   }
   return job;
@@ -92,17 +92,17 @@
   EXPECT_EQ(jobs, 1U);
 }
 
-TEST_F(JobStoreTest, AnAnswerThatWasLostStillCountsAsAccepted) {
+TEST_F(JobStoreTest, SubmissionWithLostAppendAnswersIsAccepted) {
   first_log.faults.lose_answers = 2;  // The bodies' and the submission's.
   EXPECT_EQ(submit(first, make_job("j1", 2)), SubmitStatus::kAccepted);
   EXPECT_EQ(find(second, "j1"), LookupStatus::kFound);
 }
 
-TEST_F(JobStoreTest, ALateSubmissionIsNotDoneTwice) {
+TEST_F(JobStoreTest, DelayedSubmissionIsNotAppliedTwice) {
   // The first append is kept back; meanwhile another job passes it, so that its condition fails.
   first_log.faults.topic = kJobsTopic;
-  first_log.faults.late_appends = 1;
-  first_log.faults.after_late = [&] {
+  first_log.faults.delayed_appends = 1;
+  first_log.faults.after_delayed_append = [&] {
     const JobSubmission other = make_job("other", 1).submission;
     const JobKey key = make_job_key(kHost, "other");
     model->append({kJobsTopic, jobs_partition(kHost, small_limits().partitions)},
@@ -114,29 +114,29 @@
         .records.size();
   };
   const std::size_t records = count_records();
-  first_log.apply_late();
+  first_log.apply_delayed();
   EXPECT_EQ(count_records(), records);
 }
 
-TEST_F(JobStoreTest, ASubmissionWhoseFateIsUnknownIsNotRefused) {
+TEST_F(JobStoreTest, SubmissionWithUnknownOutcomeIsNotRefused) {
   first_log.faults.topic = kJobsTopic;
-  first_log.faults.late_appends = 1000;
+  first_log.faults.delayed_appends = 1000;
   // A refusal would promise that it never runs; but the log may still take it.
   EXPECT_EQ(submit(first, make_job("j1", 1)), SubmitStatus::kUncertain);
   EXPECT_EQ(find(second, "j1"), LookupStatus::kAbsent);
-  first_log.apply_late();
+  first_log.apply_delayed();
   EXPECT_EQ(find(second, "j1"), LookupStatus::kFound);
 }
 
-TEST_F(JobStoreTest, AJobWhoseBodiesAreNotStoredIsRefusedForGood) {
+TEST_F(JobStoreTest, JobWhoseRequestsAreNotStoredIsRefusedPermanently) {
   first_log.faults.topic = "job-bodies-0";
-  first_log.faults.late_appends = 1000;
+  first_log.faults.delayed_appends = 1000;
   EXPECT_EQ(submit(first, make_job("j1", 1)), SubmitStatus::kRefused);
-  first_log.apply_late();
+  first_log.apply_delayed();
   EXPECT_EQ(find(second, "j1"), LookupStatus::kAbsent);
 }
 
-TEST_F(JobStoreTest, WithoutTheLogNothingIsSaidToBeAbsent) {
+TEST_F(JobStoreTest, JobIsNotReportedAbsentWhileTheLogIsUnreachable) {
   EXPECT_EQ(submit(first, make_job("j1", 1)), SubmitStatus::kAccepted);
   second_log.faults.down = true;
   EXPECT_EQ(find(second, "j1"), LookupStatus::kUncertain);
@@ -175,7 +175,7 @@
   EXPECT_EQ(submit(second, other_tenant), SubmitStatus::kAccepted);
 }
 
-TEST_F(JobStoreTest, BodiesLargerThanARecordComeBackWhole) {
+TEST_F(JobStoreTest, RequestsLargerThanARecordAreReassembled) {
   NewJob job = make_job("j1", 3, 100, 5000);
   const std::vector<ItemRequest> requests = job.requests;
   EXPECT_EQ(submit(first, job), SubmitStatus::kAccepted);
@@ -203,7 +203,7 @@
   EXPECT_EQ(read_texts(second, "j1"), expected);
 }
 
-TEST_F(JobStoreTest, PositionsAreTheSameAfterTheHistoryIsGone) {
+TEST_F(JobStoreTest, PositionsAreStableAfterHistoryTruncation) {
   EXPECT_EQ(submit(first, make_job("j1", 3)), SubmitStatus::kAccepted);
   first_log.faults.lose_answers = 1;  // The result is written twice, under two keys.
   write_result(first, "j1", 2, "two");
@@ -214,7 +214,7 @@
   EXPECT_EQ(before, (std::vector<std::string>{"two", "zero"}));
 }
 
-TEST_F(JobStoreTest, WhatIsReadForAJobDoesNotGrowWithTheOthers) {
+TEST_F(JobStoreTest, ReadsForAJobDoNotGrowWithOtherJobs) {
   constexpr std::size_t kOthers = 40;
   constexpr std::uint32_t kItems = 3;
   for (std::size_t i = 0; i < kOthers; ++i) {
@@ -231,7 +231,7 @@
   EXPECT_EQ(read_texts(second, "j1"), (std::vector<std::string>{"one", "zero"}));
 }
 
-TEST_F(JobStoreTest, AnEndIsSeenAtOtherNodes) {
+TEST_F(JobStoreTest, CancellationIsVisibleAtOtherNodes) {
   EXPECT_EQ(submit(first, make_job("j1", 1)), SubmitStatus::kAccepted);
   const JobKey key = make_job_key(kHost, "j1");
   EXPECT_EQ(run_awaitable(loop, second.end(kHost, key)), LogStatus::kOk);
@@ -242,21 +242,21 @@
   EXPECT_TRUE(job->ended);
 }
 
-TEST_F(JobStoreTest, JobsReadBeforeTheirHostIsFollowedAreToldThen) {
+TEST_F(JobStoreTest, JobsReadBeforeTheirHostIsFollowedAreReportedOnFollow) {
   // A restarted node answers a read before it knows the configuration that names the host.
   EXPECT_EQ(submit(first, make_job("j1", 1)), SubmitStatus::kAccepted);
-  std::vector<JobKey> told;
-  second.set_listener([&](const JobKey& key, const JobEntry&) { told.push_back(key); });
+  std::vector<JobKey> notified;
+  second.set_listener([&](const JobKey& key, const JobEntry&) { notified.push_back(key); });
   EXPECT_EQ(find(second, "j1"), LookupStatus::kFound);
-  told.clear();
+  notified.clear();
   second.follow_host(kHost);
-  EXPECT_EQ(told, (std::vector<JobKey>{make_job_key(kHost, "j1")}));
-  told.clear();
+  EXPECT_EQ(notified, (std::vector<JobKey>{make_job_key(kHost, "j1")}));
+  notified.clear();
   second.follow_host(kHost);
-  EXPECT_TRUE(told.empty());
+  EXPECT_TRUE(notified.empty());
 }
 
-TEST_F(JobStoreTest, AnErasedJobLeavesNothingBehind) {
+TEST_F(JobStoreTest, ErasedJobLeavesNoRecords) {
   EXPECT_EQ(submit(first, make_job("j1", 2)), SubmitStatus::kAccepted);
   write_result(first, "j1", 0, "zero");
   const JobKey key = make_job_key(kHost, "j1");
@@ -266,28 +266,28 @@
   while (!done && loop.run_one() > 0) {
   }
   EXPECT_EQ(find(second, "j1"), LookupStatus::kAbsent);
-  for (const JobData data : {JobData::kBodies, JobData::kResults}) {
+  for (const JobData data : {JobData::kRequests, JobData::kResults}) {
     const PartitionName partition = first.partition_of(data, key);
     EXPECT_TRUE(model->read_newest(partition, job_key_range(key)).records.empty());
   }
 }
 
-TEST_F(JobStoreTest, WhoRunsNoJobsReadsThemOnlyOnceItDoes) {
-  std::vector<JobKey> told;
-  second.set_listener([&](const JobKey& key, const JobEntry&) { told.push_back(key); });
+TEST_F(JobStoreTest, IdleNodeReadsJobsOnlyOnceItRunsJobs) {
+  std::vector<JobKey> notified;
+  second.set_listener([&](const JobKey& key, const JobEntry&) { notified.push_back(key); });
   second.set_running_jobs(false);
   second.follow_host(kHost);
   EXPECT_EQ(submit(first, make_job("j1", 3)), SubmitStatus::kAccepted);
   loop.poll();
-  EXPECT_TRUE(told.empty());
+  EXPECT_TRUE(notified.empty());
   EXPECT_EQ(second_log.records_read, 0U);
   second.set_running_jobs(true);
   loop.poll();
-  ASSERT_EQ(told.size(), 1U);
-  EXPECT_EQ(told.front(), make_job_key(kHost, "j1"));
+  ASSERT_EQ(notified.size(), 1U);
+  EXPECT_EQ(notified.front(), make_job_key(kHost, "j1"));
 }
 
-TEST_F(JobStoreTest, WhoRunsNoJobsAnswersForThemAllTheSame) {
+TEST_F(JobStoreTest, IdleNodeStillAnswersLookupsAndReads) {
   second.set_running_jobs(false);
   second.follow_host(kHost);
   EXPECT_EQ(submit(first, make_job("j1", 1)), SubmitStatus::kAccepted);
--- a/tests/jobs/job_table_test.cc
+++ b/tests/jobs/job_table_test.cc
@@ -14,7 +14,7 @@
  protected:
   JobTableTest()
       : table([this](const JobKey& key, const JobEntry& job) {
-          told.emplace_back(key, job.open());
+          notified.emplace_back(key, job.open());
         }) {}
 
   static JobKey key_of(const std::string& id) { return make_job_key(kHost, id); }
@@ -27,39 +27,39 @@
   StoredRecord record(JobRecordKind kind, const std::string& id, const std::string& value = "1") {
     return {next_offset++, jobs_record_key(kind, key_of(id)), value};
   }
-  using Told = std::vector<std::pair<JobKey, bool>>;
+  using Notifications = std::vector<std::pair<JobKey, bool>>;
 
   RecordOffset next_offset = 0;
-  Told told;
+  Notifications notified;
   JobTable table;
 };
 
-TEST_F(JobTableTest, AJobIsToldWhenItComesAndWhenItIsFinished) {
+TEST_F(JobTableTest, ListenerIsCalledWhenAJobIsAddedAndFinished) {
   table.apply(submission("j1"));
   table.apply(record(JobRecordKind::kFinished, "j1"));
-  EXPECT_EQ(told, (Told{{key_of("j1"), true}, {key_of("j1"), false}}));
+  EXPECT_EQ(notified, (Notifications{{key_of("j1"), true}, {key_of("j1"), false}}));
 }
 
 /// After a loss of all nodes 155 of the 169 jobs that were started had finished long before: their
 /// submissions were applied before their marks, and a job was begun, and its results read, at once.
-TEST_F(JobTableTest, AJobWhoseMarkIsReadWithItIsNeverToldAsOpen) {
+TEST_F(JobTableTest, JobReadTogetherWithItsFinishedMarkIsNeverReportedAsOpen) {
   table.reset({submission("j1"), submission("j2"), record(JobRecordKind::kFinished, "j1")});
-  EXPECT_EQ(told, (Told{{key_of("j1"), false}, {key_of("j2"), true}}));
+  EXPECT_EQ(notified, (Notifications{{key_of("j1"), false}, {key_of("j2"), true}}));
 }
 
-TEST_F(JobTableTest, AJobThatWasErasedIsToldAsFinished) {
+TEST_F(JobTableTest, ErasedJobIsReportedAsFinished) {
   table.apply(submission("j1"));
   table.apply(submission("j2"));
-  told.clear();
+  notified.clear();
   table.apply(record(JobRecordKind::kSubmitted, "j1", ""));
-  EXPECT_EQ(told, (Told{{key_of("j1"), false}}));
+  EXPECT_EQ(notified, (Notifications{{key_of("j1"), false}}));
   EXPECT_EQ(table.find(key_of("j1")), nullptr);
-  told.clear();
+  notified.clear();
   table.reset({});
-  EXPECT_EQ(told, (Told{{key_of("j2"), false}}));
+  EXPECT_EQ(notified, (Notifications{{key_of("j2"), false}}));
 }
 
-TEST_F(JobTableTest, SubmissionsWrittenBeforeJobsWereSpreadAreRead) {
+TEST_F(JobTableTest, SubmissionsOfTheOldFormatAreDecoded) {
   // The same fields without the last two: a number, and a text behind its length.
   JobSubmission spread;
   spread.id = "j1";
--- a/tests/jobs/one_job_reads_test.cc
+++ b/tests/jobs/one_job_reads_test.cc
@@ -28,7 +28,7 @@
 /// and the page is filled up to 1 MB with the results of other jobs. In the second region all nodes
 /// share 60 Mbit/s with these reads. Here 20 polls of a job with 240 kB of results, of which each
 /// brings one more, carry 10.6 MB: 44 times the results.
-TEST_F(OneJobReadsTest, ACallerWhoPollsReadsEachResultAboutOnce) {
+TEST_F(OneJobReadsTest, PollingCallerReadsEachResultAboutOnce) {
   constexpr std::size_t kOthers = 100;
   constexpr std::size_t kPolledJob = kOthers / 2;
   constexpr std::uint32_t kPolledItems = 20;
@@ -53,13 +53,13 @@
     ASSERT_EQ(page.results->listed().size(), poll + 1);
     EXPECT_EQ(page.results->listed().back().item, item);
   }
-  EXPECT_LE(asked.log.read_beside(kJobsTopic).bytes, 3 * kPolledItems * kResultBytes);
+  EXPECT_LE(asked.log.reads_of_other_topics(kJobsTopic).bytes, 3 * kPolledItems * kResultBytes);
 }
 
 /// To erase a job its keys are read with all their values, and the page is filled up to 1 MB with
 /// other jobs, once for requests and once for results; a fleet erases as many jobs as it takes.
 /// Here the erasure of one of 200 jobs with 270 kB reads 2.1 MB.
-TEST_F(OneJobReadsTest, AJobIsErasedWithoutReadingOthers) {
+TEST_F(OneJobReadsTest, ErasingAJobReadsNoOtherJobs) {
   constexpr std::size_t kJobs = 200;
   constexpr std::size_t kErasedJob = 20;
   JobNode& worker = add_node("worker");
@@ -72,10 +72,11 @@
   const JobKey key = make_job_key(kHost, job_id(kErasedJob));
   const JobEntry* job = nullptr;
   ASSERT_EQ(run_awaitable(loop, eraser.store.find(kHost, key, job)), LookupStatus::kFound);
-  const std::vector<PartitionName> partitions{eraser.store.partition_of(JobData::kBodies, key),
+  const std::vector<PartitionName> partitions{eraser.store.partition_of(JobData::kRequests, key),
                                               eraser.store.partition_of(JobData::kResults, key)};
   run(eraser.store.erase(kHost, key));
-  EXPECT_LE(eraser.log.read_beside(kJobsTopic).bytes, 3 * (kRequestsBytes + kResultsBytes));
+  EXPECT_LE(eraser.log.reads_of_other_topics(kJobsTopic).bytes,
+            3 * (kRequestsBytes + kResultsBytes));
 
   JobNode& other = add_node("other");
   EXPECT_EQ(run_awaitable(loop, other.store.find(kHost, key, job)), LookupStatus::kAbsent);
--- a/tests/jobs/paged_record_log.h
+++ b/tests/jobs/paged_record_log.h
@@ -53,29 +53,29 @@
   }
 
   /// From now on reads of topics whose names begin so wait until `release` is called.
-  void hold_reads(std::string topic_prefix) { held_prefix_ = std::move(topic_prefix); }
+  void hold_reads(std::string topic_prefix) { held_read_prefix_ = std::move(topic_prefix); }
   /// Lets the reads that wait now go on; later ones wait again.
   void release() {
     gate_.cancel();
     close_gate();
   }
   /// The same for appends; they are counted with the reads.
-  void hold_appends(std::string topic_prefix) { held_appends_ = std::move(topic_prefix); }
+  void hold_appends(std::string topic_prefix) { held_append_prefix_ = std::move(topic_prefix); }
   /// Most calls that have waited at once.
-  [[nodiscard]] int most_held() const { return most_held_; }
+  [[nodiscard]] int max_held() const { return max_held_; }
   /// From now on a read by offset that asks for more than this gets no answer in time.
-  void set_most_bytes_in_time(std::uint64_t bytes) { most_bytes_in_time_ = bytes; }
+  void set_max_answered_read_bytes(std::uint64_t bytes) { max_answered_read_bytes_ = bytes; }
   /// From now on an append of more than this gets no answer in time, and is not done.
-  void set_most_append_bytes_in_time(std::uint64_t bytes) { most_append_bytes_in_time_ = bytes; }
+  void set_max_answered_append_bytes(std::uint64_t bytes) { max_answered_append_bytes_ = bytes; }
   /// The next read of newest records gets so many pages, and no answer to the one behind them.
-  void lose_page_behind(int pages) { pages_until_loss_ = pages; }
+  void lose_page_after(int pages) { pages_until_loss_ = pages; }
 
   /// What was read of the topics whose names begin so.
   [[nodiscard]] ReadCount read_of(const std::string& topic_prefix) const {
     return sum([&](const std::string& topic) { return topic.starts_with(topic_prefix); });
   }
   /// What was read of all others.
-  [[nodiscard]] ReadCount read_beside(const std::string& topic_prefix) const {
+  [[nodiscard]] ReadCount reads_of_other_topics(const std::string& topic_prefix) const {
     return sum([&](const std::string& topic) { return !topic.starts_with(topic_prefix); });
   }
 
@@ -83,8 +83,8 @@
 
   boost::asio::awaitable<ReadResult> read(PartitionName partition, RecordOffset from,
                                           std::uint64_t max_bytes, Duration wait) override {
-    co_await travel(partition.topic);
-    if (max_bytes > most_bytes_in_time_ && partition.topic != kJobsTopic) {
+    co_await post_and_wait_if_held(partition.topic);
+    if (max_bytes > max_answered_read_bytes_ && partition.topic != kJobsTopic) {
       ++reads_[partition.topic].calls;
       co_return ReadResult();
     }
@@ -100,11 +100,12 @@
   boost::asio::awaitable<AppendResult> append(PartitionName partition,
                                               std::vector<KeyedRecord> records,
                                               std::optional<RecordOffset> expected_end) override {
-    const bool held = !held_appends_.empty() && partition.topic.starts_with(held_appends_);
-    if (held) co_await wait_at_gate();
+    const bool held =
+        !held_append_prefix_.empty() && partition.topic.starts_with(held_append_prefix_);
+    if (held) co_await wait_until_released();
     std::uint64_t bytes = 0;
     for (const auto& record : records) bytes += record.key.size() + record.value.size();
-    if (bytes > most_append_bytes_in_time_) co_return AppendResult();
+    if (bytes > max_answered_append_bytes_) co_return AppendResult();
     co_return model_->append(partition, records, expected_end);
   }
 
@@ -115,7 +116,7 @@
     bool first_page = true;
     bool more = true;
     while (more) {
-      co_await travel(partition.topic);
+      co_await post_and_wait_if_held(partition.topic);
       if (pages_until_loss_ >= 0 && pages_until_loss_-- == 0) {
         if (!first_page) result.resume_after = range.after;
         co_return result;
@@ -157,13 +158,13 @@
  private:
   /// A call leaves the caller's turn of the loop, so that calls overlap, and waits while it is
   /// held.
-  boost::asio::awaitable<void> travel(std::string topic) {
+  boost::asio::awaitable<void> post_and_wait_if_held(std::string topic) {
     co_await boost::asio::post(gate_.get_executor(), boost::asio::use_awaitable);
-    if (held_prefix_.empty() || !topic.starts_with(held_prefix_)) co_return;
-    co_await wait_at_gate();
+    if (held_read_prefix_.empty() || !topic.starts_with(held_read_prefix_)) co_return;
+    co_await wait_until_released();
   }
-  boost::asio::awaitable<void> wait_at_gate() {
-    most_held_ = std::max(most_held_, ++held_);
+  boost::asio::awaitable<void> wait_until_released() {
+    max_held_ = std::max(max_held_, ++held_);
     boost::system::error_code opened;
     co_await gate_.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, opened));
     --held_;
@@ -189,13 +190,13 @@
   std::shared_ptr<emulator::LogModel> model_;
   LogLimits limits_;
   boost::asio::steady_timer gate_;  ///< Never due; cancelled to let the reads go on.
-  std::string held_prefix_;
-  std::string held_appends_;
-  std::uint64_t most_bytes_in_time_ = std::numeric_limits<std::uint64_t>::max();
-  std::uint64_t most_append_bytes_in_time_ = std::numeric_limits<std::uint64_t>::max();
+  std::string held_read_prefix_;
+  std::string held_append_prefix_;
+  std::uint64_t max_answered_read_bytes_ = std::numeric_limits<std::uint64_t>::max();
+  std::uint64_t max_answered_append_bytes_ = std::numeric_limits<std::uint64_t>::max();
   int pages_until_loss_ = -1;  ///< Below 0: no page is lost.
   int held_ = 0;
-  int most_held_ = 0;
+  int max_held_ = 0;
   std::map<std::string, ReadCount> reads_;
 };
 
--- a/tests/jobs/restart_reads_test.cc
+++ b/tests/jobs/restart_reads_test.cc
@@ -15,7 +15,7 @@
     kOpenJobs * (kRequestsBytes + kListedItems * (kResultBytes + kProgressBytes));
 /// Reads of items' requests that may be under way at once: one waits for the log while another is
 /// on the link.
-constexpr int kMostReadsAtOnce = 2;
+constexpr int kMaxConcurrentReads = 2;
 /// Reads of one job's results and progress, and of each request by its place and then by its key.
 constexpr std::size_t kCallsOfAnOpenJob = 2 + 2 * kJobItems;
 
@@ -31,13 +31,13 @@
   /// Has a node run jobs until it has marked all of them finished, and leave.
   void finish_jobs(JobNode& node, const std::vector<std::size_t>& numbers) {
     for (const std::size_t number : numbers) submit(node, make_job(number));
-    node.take_up_jobs(add_runner(result_answer()));
+    node.run_jobs(add_runner(result_answer()));
     run_until([&] { return node.finished_jobs() == numbers.size(); });
     run(node.runner.stop());
     settle();
   }
   /// Submits a job of which some items are listed, and some have begun.
-  void submit_begun(JobNode& node, std::size_t number) {
+  void submit_started(JobNode& node, std::size_t number) {
     submit(node, make_job(number));
     write_results(node, number, {0, kJobItems - 1});
     const JobKey key = make_job_key(kHost, job_id(number));
@@ -51,31 +51,31 @@
   }
   /// Leaves open jobs behind that lie between finished ones in the order of the keys; all nodes
   /// are gone, and the history is forgotten.
-  void leave_behind(std::size_t finished_jobs) {
-    const std::size_t pace = finished_jobs / kOpenJobs + 1;
+  void leave_open_and_finished_jobs(std::size_t finished_jobs) {
+    const std::size_t spacing = finished_jobs / kOpenJobs + 1;
     std::vector<std::size_t> finished;
     std::vector<std::size_t> open;
     for (std::size_t number = 0; number < finished_jobs + kOpenJobs; ++number) {
-      const bool is_open = number % pace == 0 && open.size() < kOpenJobs;
+      const bool is_open = number % spacing == 0 && open.size() < kOpenJobs;
       (is_open ? open : finished).push_back(number);
     }
     JobNode& before = add_node("before");
     finish_jobs(before, finished);
-    for (const std::size_t number : open) submit_begun(before, number);
+    for (const std::size_t number : open) submit_started(before, number);
     model->drop_history();
   }
   /// Begins with an empty log.
-  void forget_all() { model = std::make_shared<emulator::LogModel>(); }
+  void clear_log() { model = std::make_shared<emulator::LogModel>(); }
   /// Starts a node and runs until all open items have reached a runner.
   RestartReads place_open_items() {
     JobNode& node = add_node("after");
     const ScriptedRunner& runner = add_runner(impossible_answer());
-    node.take_up_jobs(runner);
+    node.run_jobs(runner);
     run_until([&] { return runner.requests.size() >= kItemsToPlace; });
-    return {node.log.read_of(kJobsTopic).bytes, node.log.read_beside(kJobsTopic).bytes};
+    return {node.log.read_of(kJobsTopic).bytes, node.log.reads_of_other_topics(kJobsTopic).bytes};
   }
   /// Leaves finished jobs behind.
-  void leave_finished(std::size_t jobs) {
+  void leave_finished_jobs(std::size_t jobs) {
     std::vector<std::size_t> numbers(jobs);
     std::iota(numbers.begin(), numbers.end(), 0);
     finish_jobs(add_node("before"), numbers);
@@ -84,11 +84,11 @@
   /// @return calls of its reads beside the list of jobs.
   std::size_t calls_until_finished(std::size_t jobs) {
     JobNode& node = add_node("after");
-    node.take_up_jobs(add_runner(impossible_answer()));
+    node.run_jobs(add_runner(impossible_answer()));
     run_until([&] { return node.finished_jobs() == jobs; });
     settle();
     run(node.runner.stop());
-    return node.log.read_beside(kJobsTopic).calls;
+    return node.log.reads_of_other_topics(kJobsTopic).calls;
   }
 };
 
@@ -101,14 +101,14 @@
 /// requests, 7.1 MB for results, 0.3 MB for progress. With 200 it reads 248.9 MB: 62.5 MB for
 /// requests, 185.2 MB for results, 1.2 MB for progress. As base64 on 30 Mbit/s, the link of a small
 /// machine, that is 88 s.
-TEST_F(RestartReadsTest, WhatIsReadUntilAllIsPlacedIsWhatIsOpen) {
-  leave_behind(20);
+TEST_F(RestartReadsTest, RestartReadsOnlyTheDataOfOpenJobs) {
+  leave_open_and_finished_jobs(20);
   const RestartReads few = place_open_items();
   EXPECT_LE(few.listing_bytes, 2 * listing_bytes());
   EXPECT_LE(few.other_bytes, 3 * kOpenBytes);
 
-  forget_all();
-  leave_behind(200);
+  clear_log();
+  leave_open_and_finished_jobs(200);
   const RestartReads many = place_open_items();
   EXPECT_LE(many.listing_bytes, 2 * listing_bytes());
   EXPECT_LE(many.other_bytes, 3 * kOpenBytes);
@@ -120,19 +120,19 @@
 /// Here 64 reads are under way together, and bring 24.6 MB for 1 MB of requests. A page of 1 MB
 /// takes 0.37 s on 30 Mbit/s and must come within 1 s: of three or more full ones at once none
 /// comes in time, and each is asked for again.
-TEST_F(RestartReadsTest, RequestsOfItemsAreReadAFewAtATime) {
-  leave_behind(20);
+TEST_F(RestartReadsTest, RequestsAreReadWithLimitedConcurrency) {
+  leave_open_and_finished_jobs(20);
   JobNode& node = add_node("after");
   node.log.hold_reads("job-bodies");
   const ScriptedRunner& runner = add_runner(impossible_answer());
-  node.take_up_jobs(runner);
+  node.run_jobs(runner);
   run_until([&] {
     node.log.release();
     settle();
     return runner.requests.size() >= kItemsToPlace;
   });
-  EXPECT_GT(node.log.most_held(), 0);
-  EXPECT_LE(node.log.most_held(), kMostReadsAtOnce);
+  EXPECT_GT(node.log.max_held(), 0);
+  EXPECT_LE(node.log.max_held(), kMaxConcurrentReads);
 }
 
 /// After a loss of all nodes 169 jobs were begun within 10 ms, of which 155 had finished before: a
@@ -144,18 +144,18 @@
 ///
 ///     job_started  job=...  items=10
 ///     job_loaded   job=...  listed=10
-TEST_F(RestartReadsTest, JobsThatHadFinishedAreNotReadWhenTheirHistoryIsReplayed) {
+TEST_F(RestartReadsTest, FinishedJobsAreNotReadWhenTheHistoryIsReplayed) {
   constexpr std::size_t kFinished = 20;
-  leave_finished(kFinished);
+  leave_finished_jobs(kFinished);
   EXPECT_EQ(calls_until_finished(kFinished), 0U);
   // Nor later, while a job that was submitted last is run.
   submit(add_node("submitter"), make_job(kFinished));
   EXPECT_LE(calls_until_finished(kFinished + 1), kCallsOfAnOpenJob);
 }
 
-TEST_F(RestartReadsTest, JobsThatHadFinishedAreNotReadOnceTheirHistoryIsForgotten) {
+TEST_F(RestartReadsTest, FinishedJobsAreNotReadAfterHistoryTruncation) {
   constexpr std::size_t kFinished = 20;
-  leave_finished(kFinished);
+  leave_finished_jobs(kFinished);
   model->drop_history();
   EXPECT_EQ(calls_until_finished(kFinished), 0U);
   submit(add_node("submitter"), make_job(kFinished));
--- a/tests/jobs/result_records_test.cc
+++ b/tests/jobs/result_records_test.cc
@@ -30,7 +30,7 @@
     return run_awaitable(loop, node.store.read_results(kHost, key_of(0), position, Duration{0}));
   }
   /// First letters of the texts in their positions; '-' for one that was not read.
-  static std::string letters(const ResultPage& page) {
+  static std::string first_letters(const ResultPage& page) {
     std::string all;
     for (const auto& result : page.results->listed()) {
       all += result.has_text() ? result.text.substr(0, 1) : "-";
@@ -44,7 +44,7 @@
   }
 };
 
-TEST_F(ResultRecordsTest, ALongTextLiesInFrontOfItsListingAndAShortOneInIt) {
+TEST_F(ResultRecordsTest, LongTextPrecedesItsListingAndShortTextIsInline) {
   JobNode& node = add_node("node");
   submit(node, make_job(0));
   const Records split = node.store.records_of(result_of(3, long_text('a')));
@@ -66,7 +66,7 @@
 }
 
 /// Older nodes run a job that one of them accepted, and know no texts in records of their own.
-TEST_F(ResultRecordsTest, ResultsOfAJobThatAnOlderNodeAcceptedAreWholeAndCount) {
+TEST_F(ResultRecordsTest, ResultsOfJobsAcceptedByOlderNodesAreInlineAndCount) {
   JobNode& node = add_node("node");
   const JobSubmission older = make_job(0).submission;
   ASSERT_FALSE(older.split_results);
@@ -79,41 +79,41 @@
     EXPECT_TRUE(decode(record.value, whole));
   }
   model->drop_history();
-  EXPECT_EQ(letters(read(add_node("asked"), 0)), "cb");
+  EXPECT_EQ(first_letters(read(add_node("asked"), 0)), "cb");
 }
 
-TEST_F(ResultRecordsTest, WholeResultsAndListingsStandInTheOrderOfTheLog) {
+TEST_F(ResultRecordsTest, InlineResultsAndListingsKeepTheOrderOfTheLog) {
   JobNode& node = add_node("node");
   submit(node, make_job(0));
   write(node, 5, long_text('a'));
   append(node, result_records(result_of(1, long_text('b')), "older", 0, false));
   write(node, 0, long_text('c'));
   write(node, 2, "d");
-  EXPECT_EQ(letters(read(add_node("by offset"), 0)), "abcd");
+  EXPECT_EQ(first_letters(read(add_node("by offset"), 0)), "abcd");
   model->drop_history();
-  EXPECT_EQ(letters(read(add_node("by key"), 0)), "abcd");
+  EXPECT_EQ(first_letters(read(add_node("by key"), 0)), "abcd");
 }
 
 /// Two nodes that each believe to have an item both write it; the first listing counts everywhere,
 /// whatever the keys' order and whichever way a node reads.
-TEST_F(ResultRecordsTest, OfTwoWritersOfAnItemTheFirstCountsAtAllNodes) {
+TEST_F(ResultRecordsTest, FirstOfTwoResultsOfAnItemCountsAtAllNodes) {
   JobNode& first = add_node("z");
   JobNode& second = add_node("a");
   submit(first, make_job(0));
   EXPECT_EQ(run_awaitable(loop, second.store.submit(make_job(0))), SubmitStatus::kAccepted);
   JobNode& follower = add_node("follower");
-  EXPECT_EQ(letters(read(follower, 0)), "");
+  EXPECT_EQ(first_letters(read(follower, 0)), "");
   write(first, 4, long_text('a'));
   write(second, 4, long_text('b'));
   write(second, 1, long_text('c'));
   write(first, 1, long_text('d'));
-  EXPECT_EQ(letters(read(follower, 0)), "ac");
-  EXPECT_EQ(letters(read(add_node("by offset"), 0)), "ac");
+  EXPECT_EQ(first_letters(read(follower, 0)), "ac");
+  EXPECT_EQ(first_letters(read(add_node("by offset"), 0)), "ac");
   model->drop_history();
-  EXPECT_EQ(letters(read(add_node("by key"), 0)), "ac");
+  EXPECT_EQ(first_letters(read(add_node("by key"), 0)), "ac");
 }
 
-TEST_F(ResultRecordsTest, AnAppendWhoseAnswerWasLostIsRepeatedAndCountsOnce) {
+TEST_F(ResultRecordsTest, AppendWithLostAnswerIsRetriedAndCountsOnce) {
   FaultyRecordLog log(model, store_limits());
   JobStore store(loop.get_executor(), log, "writer", quick_timing());
   EXPECT_EQ(run_awaitable(loop, store.submit(make_job(0))), SubmitStatus::kAccepted);
@@ -124,28 +124,28 @@
   run_until([&] { return written == 1; });
   settle();
   JobNode& asked = add_node("asked");
-  EXPECT_EQ(letters(read(asked, 0)), "a");
+  EXPECT_EQ(first_letters(read(asked, 0)), "a");
   EXPECT_EQ(stored_results(asked).size(), 4U);
   model->drop_history();
-  EXPECT_EQ(letters(read(add_node("by key"), 0)), "a");
+  EXPECT_EQ(first_letters(read(add_node("by key"), 0)), "a");
   run(asked.store.erase(kHost, key_of(0)));
   EXPECT_TRUE(stored_results(asked).empty());
 }
 
-TEST_F(ResultRecordsTest, ATextWithoutAListingIsNoResult) {
+TEST_F(ResultRecordsTest, TextWithoutListingIsNotAResult) {
   JobNode& node = add_node("node");
   submit(node, make_job(0));
   const Records torn = node.store.records_of(result_of(0, long_text('x')));
   append(node, {torn[0]});
   write(node, 1, long_text('a'));
   append(node, {torn[0]});
-  EXPECT_EQ(letters(read(add_node("by offset"), 0)), "a");
+  EXPECT_EQ(first_letters(read(add_node("by offset"), 0)), "a");
   model->drop_history();
-  EXPECT_EQ(letters(read(add_node("by key"), 0)), "a");
+  EXPECT_EQ(first_letters(read(add_node("by key"), 0)), "a");
 }
 
 /// A read by offset may end between a text and its listing; the next one brings the listing alone.
-TEST_F(ResultRecordsTest, AReadThatEndsBehindATextLosesNothing) {
+TEST_F(ResultRecordsTest, ReadThatEndsBetweenTextAndListingLosesNothing) {
   const Records records = result_records(result_of(0, long_text('a')), "writer", 5, true);
   ReadResult text{LogStatus::kOk, {{0, records[0].key, records[0].value}}, 1, {}};
   ReadResult listing{LogStatus::kOk, {{1, records[1].key, records[1].value}}, 2, {}};
@@ -172,18 +172,18 @@
 
 /// The page with the listings comes, the one with the texts does not: an answer now would list
 /// results without their messages, and callers would take these for what the runner said.
-TEST_F(ResultRecordsTest, AListingWhoseTextCannotBeReadYetIsNotAnswered) {
+TEST_F(ResultRecordsTest, ListingWithUnreadableTextIsNotReturned) {
   JobNode& node = add_node("node");
   submit(node, make_job(0));
   write_results(node, 0, {0, 1});
   JobNode& asked = add_node("asked");
-  EXPECT_EQ(letters(read(asked, 0)), "ab");
+  EXPECT_EQ(first_letters(read(asked, 0)), "ab");
   write_results(node, 0, {2});
   model->drop_history();
   JobNode& late = add_node("late");
   const JobEntry* job = nullptr;
   ASSERT_EQ(run_awaitable(loop, late.store.find(kHost, key_of(0), job)), LookupStatus::kFound);
-  late.log.lose_page_behind(1);
+  late.log.lose_page_after(1);
   EXPECT_EQ(read(late, 2).status, LookupStatus::kUncertain);
   EXPECT_TRUE(late.store.results_of(key_of(0)).is_listed(2));
   const ResultPage page = read(late, 2);
@@ -193,13 +193,13 @@
 
   // What lies in front of it is answered, though the list is known to be longer.
   ASSERT_EQ(run_awaitable(loop, asked.store.refresh_results(key_of(0))), LogStatus::kOk);
-  asked.log.lose_page_behind(0);
+  asked.log.lose_page_after(0);
   const ResultPage front = read(asked, 0);
   EXPECT_EQ(front.status, LookupStatus::kFound);
-  EXPECT_EQ(letters(front), "ab-");
+  EXPECT_EQ(first_letters(front), "ab-");
 }
 
-TEST_F(ResultRecordsTest, AListingWhoseTextIsGoneIsNeverAnsweredAsEmpty) {
+TEST_F(ResultRecordsTest, ListingWithMissingTextIsNeverReturnedAsEmpty) {
   JobNode& node = add_node("node");
   submit(node, make_job(0));
   write_results(node, 0, {0, 1});
@@ -213,11 +213,11 @@
               with_history ? LookupStatus::kFound : LookupStatus::kUncertain);
     const ResultPage page = read(asked, 0);
     EXPECT_EQ(page.status, LookupStatus::kFound);
-    EXPECT_EQ(letters(page), with_history ? "ab" : "a-");
+    EXPECT_EQ(first_letters(page), with_history ? "ab" : "a-");
   }
 }
 
-TEST_F(ResultRecordsTest, AnErasedJobLeavesNoTextBehind) {
+TEST_F(ResultRecordsTest, ErasedJobLeavesNoText) {
   JobNode& node = add_node("node");
   submit(node, make_job(0));
   write_results(node, 0, {0, 1, 2});
@@ -233,7 +233,7 @@
 }
 
 /// Which items are open is told by the listings: a node that takes up jobs reads no text.
-TEST_F(ResultRecordsTest, ANodeThatTakesUpAJobReadsNoTexts) {
+TEST_F(ResultRecordsTest, StartingAJobReadsNoTexts) {
   std::vector<std::uint32_t> listed(kJobItems - 1);
   std::iota(listed.begin(), listed.end(), 0);
   for (const bool with_history : {true, false}) {
@@ -244,7 +244,7 @@
     if (!with_history) model->drop_history();
     JobNode& node = add_node("after");
     const ScriptedRunner& runner = add_runner(impossible_answer());
-    node.take_up_jobs(runner);
+    node.run_jobs(runner);
     run_until([&] { return !runner.requests.empty(); });
     EXPECT_GT(node.store.result_bytes().listings, 0U);
     EXPECT_EQ(node.store.result_bytes().texts, 0U);
@@ -254,7 +254,7 @@
 
 /// A caller reads 2.4 MB of results page by page at a node that has just started, and the last page
 /// of texts is lost once.
-TEST_F(ResultRecordsTest, TextsThatCameThroughAreNotReadAgain) {
+TEST_F(ResultRecordsTest, CompletedTextReadsAreNotRepeated) {
   constexpr std::uint32_t kItems = 200;
   JobNode& worker = add_node("worker");
   submit(worker, make_job(0, kItems));
@@ -265,7 +265,7 @@
   JobNode& asked = add_node("asked");
   const JobEntry* job = nullptr;
   ASSERT_EQ(run_awaitable(loop, asked.store.find(kHost, key_of(0), job)), LookupStatus::kFound);
-  asked.log.lose_page_behind(3);
+  asked.log.lose_page_after(3);
   std::size_t failed = 0;
   std::uint64_t position = 0;
   while (position < kItems && failed < 3) {
@@ -277,11 +277,11 @@
   }
   EXPECT_EQ(position, kItems);
   EXPECT_EQ(failed, 1U);
-  EXPECT_LE(2 * asked.log.read_beside(kJobsTopic).bytes, 3 * kItems * kResultBytes);
+  EXPECT_LE(2 * asked.log.reads_of_other_topics(kJobsTopic).bytes, 3 * kItems * kResultBytes);
 }
 
 /// Callers who are at different positions of one job at one node share the reads of its texts.
-TEST_F(ResultRecordsTest, CallersAtDifferentPositionsShareTheTexts) {
+TEST_F(ResultRecordsTest, CallersAtDifferentPositionsShareTextReads) {
   constexpr std::uint32_t kItems = 20;
   JobNode& worker = add_node("worker");
   submit(worker, make_job(0, kItems));
@@ -303,7 +303,7 @@
     }
     run_until([&] { return answered == kItems; });
     EXPECT_EQ(with_text, kItems);
-    EXPECT_LE(asked.log.read_beside(kJobsTopic).bytes, 2 * kItems * kResultBytes);
+    EXPECT_LE(asked.log.reads_of_other_topics(kJobsTopic).bytes, 2 * kItems * kResultBytes);
   }
 }
 
