--- a/src/jobs/checkpoint_table.h
+++ b/src/jobs/checkpoint_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which progress of running items is durable, so that none is written twice.
+/// Tracks which progress of running items is durable, to avoid writing it again.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,23 @@
 
 namespace stoathold {
 
-/// One row for each item of which this process has written progress. An item that waits for a place
-/// or whose runner is silent stands still for seconds, and its text is long. Used on one thread.
+/// Records the last durable progress of each item that this process has checkpointed. An item that
+/// waits for a slot or whose runner stalls makes no progress for seconds, and rewriting its long
+/// text each round would waste bandwidth. Not thread-safe.
 class CheckpointTable {
  public:
-  /// Whether the progress holds more than what is durable.
-  /// @param read what this process has read from the log; null: nothing.
+  /// Returns whether the progress is ahead of what is durable.
+  /// @param read progress that this process has read from the log, or null.
   [[nodiscard]] bool is_newer_than_durable(const ItemProgress& progress,
                                            const ItemProgress* read) const;
-  /// The progress has been written.
+  /// Records that the progress has been written to the log.
   void mark_durable(const ItemProgress& progress);
-  /// The job is no longer run here.
+  /// Removes all items of a job that this node no longer runs. Another node may run the job and
+  /// write less progress before it returns.
   void remove_job(const JobKey& job);
 
  private:
-  /// What makes one progress newer than another.
+  /// Fields by which progress records are ordered.
   struct ProgressPosition {
     std::uint64_t last_event = 0;
     std::uint32_t failures = 0;
--- a/src/jobs/held_requests.h
+++ b/src/jobs/held_requests.h
@@ -1,5 +1,5 @@
 /// @file
-/// Bytes of the requests of batch items that a node holds.
+/// Memory accounting for the requests of batch items that a node holds.
 #pragma once
 
 #include <cstdint>
@@ -8,25 +8,27 @@
 
 namespace stoathold {
 
-/// Counts the requests that wait or run, and says when no more should be read. Used on one thread.
+/// Charges the requests of waiting and running items to the memory budget and decides whether more
+/// may be read. Not thread-safe.
 class HeldRequests {
  public:
-  /// @param budget of the process; outlives this.
+  /// @param budget memory budget of the process; must outlive this object.
   explicit HeldRequests(MemoryBudget& budget)
       : budget_(budget), reservation_(budget.charge(MemoryAccount::kJobRequests, 0)) {}
 
   void add(std::uint64_t bytes) { set(bytes_ + bytes); }
   void remove(std::uint64_t bytes) { set(bytes_ - bytes); }
   [[nodiscard]] std::uint64_t bytes() const { return bytes_; }
-  /// Whether more may be read. One may be held whatever else the process holds: jobs go on.
+  /// Returns whether more requests may be read. One read is always allowed while none is held, so
+  /// that jobs make progress even if the rest of the process uses up the budget.
   [[nodiscard]] bool can_read_more() const {
     return bytes_ == 0 || budget_.has_room(MemoryAccount::kJobRequests, kMaxReadBytes);
   }
 
  private:
-  /// Most that one read of requests brings.
+  /// Maximum bytes returned by one read of requests.
   static constexpr std::uint64_t kMaxReadBytes = 1024UL * 1024;
-  /// Copies of a request: the item's own, and the one that is written to a runner.
+  /// Copies of each request: the item's own, and the one being sent to a runner.
   static constexpr std::uint64_t kCopiesPerRequest = 2;
 
   void set(std::uint64_t bytes) {
--- a/src/jobs/item_schedule.h
+++ b/src/jobs/item_schedule.h
@@ -1,21 +1,21 @@
 /// @file
-/// How urgent a batch item is: the time left until it is due against the work left.
+/// Urgency of a batch item: the time until it is due compared with its remaining work.
 #pragma once
 
 #include "base/time.h"
 
 namespace stoathold {
 
-/// One item at one moment. All items of a job are due at the same time, but a long one must begin
-/// earlier than a short one to be in time.
+/// Schedule of one item at one point in time. All items of a job are due at the same time, but a
+/// long item must start earlier than a short one to be in time.
 struct ItemSchedule {
-  Duration objective{0};  ///< From the job's submission until the item is due; 0: never due.
-  Duration age{0};        ///< Of the job.
-  Duration remaining{0};  ///< What the rest of the item is expected to take at a runner.
+  Duration objective{0};  ///< From the submission of the job until the item is due; 0: no due time.
+  Duration age{0};        ///< Time since the submission of the job.
+  Duration remaining{0};  ///< Expected time on a runner for the remaining work.
 
-  /// Time that the item can still lose and be in time; negative if it will be late.
+  /// Delay that the item can absorb and still be in time; negative if it will be late.
   [[nodiscard]] Duration slack() const { return objective - age - remaining; }
-  /// Whether it cannot be in time any more.
+  /// Returns whether the item can no longer be completed in time.
   [[nodiscard]] bool late() const { return objective.count() > 0 && slack() < Duration{0}; }
 };
 
--- a/src/jobs/job_runner.cc
+++ b/src/jobs/job_runner.cc
@@ -16,20 +16,21 @@
 
 namespace asio = boost::asio;
 
-/// Items of one job that one node runs at the same time, or has wait for a place, while it has no
-/// other job: more than a whole job has, so that a large job waits for places at runners and not
-/// for its own items. All jobs together have half as many again.
+/// Maximum number of items of one job that run or wait for a runner's slot while the node has no
+/// other job. It exceeds the size of a job, so that a large job is limited by runner slots and not
+/// by this limit. All jobs together may have 1.5 times as many.
 constexpr std::size_t kMaxItemsPerJob = 256;
-/// Requests that all jobs together hold. An item may have 690 kB, and machines as little as 160 MB,
-/// of which this is a fifth.
+/// Maximum total bytes of the requests that all jobs hold in memory. A request may have 690 kB, and
+/// machines have as little as 160 MB, of which this is a fifth.
 constexpr double kMaxRequestBytes = 32.0 * 1024 * 1024;
-/// A process that has just started lets few items run at first, so that online requests, which also
-/// come back all at once, find places; the number rises to the full one in this time.
+/// After a start, the number of concurrent items rises linearly from `kSlowStartInitialItems` to
+/// the maximum during this time. Online requests also return all at once after a restart and need
+/// free slots.
 constexpr Duration kSlowStartDuration = std::chrono::seconds(4);
 constexpr std::size_t kSlowStartInitialItems = 6;
 
-/// Which run gives its slot back: the greatest. One that will be late anyway loses least, then the
-/// one with the most time, then the newest.
+/// Preemption order: the run with the greatest value yields its slot. A run that is late anyway
+/// loses least, then the one with the most slack, then the one placed last.
 struct YieldPriority {
   bool late = false;
   Duration slack{0};
@@ -187,7 +188,8 @@
   return chosen != nullptr;
 }
 
-/// A job's route is sent to the first of its services most of the time; the others hardly differ.
+/// Uses the first service of the job's route: it receives most of the traffic, and the other
+/// services of a route hardly differ from it.
 RoomHolder JobRunner::capacity_key_of(const JobKey& key, const ActiveJob& job) const {
   const auto configuration = context_.configuration;
   const Route* route = configuration ? configuration->find_route(job.host, job.path) : nullptr;
@@ -198,7 +200,7 @@
 
 bool JobRunner::can_read_requests(const JobKey& key) const {
   const auto job = jobs_.find(key);
-  if (job == jobs_.end()) return true;  // It is left out as soon as it has its turn.
+  if (job == jobs_.end()) return true;  // The loader drops a stopped job when it dequeues it.
   const RoomHolder& capacity_key = job->second->capacity_key;
   return waiting_capacity_.may_take(capacity_key) &&
          request_byte_capacity_.may_take(capacity_key) && held_requests_.can_read_more();
@@ -265,7 +267,7 @@
   const auto found = jobs_.find(result.job);
   if (found == jobs_.end()) return;
   const auto job = found->second;
-  // A run that was stopped and begun again may have two results; the item counts once.
+  // An item whose run was stopped and restarted may have two results; it is counted once.
   if (job->unfinished_items.erase(result.item) == 0) return;
   log_event(Event::kItemListed, {{"job", result.job},
                                  {"item", job->items[result.item].id},
@@ -277,8 +279,8 @@
   }
 }
 
-/// Each item has a durable result now, of this node or read from the log. Reading the mark back
-/// stops the job.
+/// Called once each item has a durable result, written by this node or read from the log. Retries
+/// until the finished mark is durable; applying the mark to the job table stops the job.
 asio::awaitable<void> JobRunner::finish_job(JobKey key, std::shared_ptr<ActiveJob> job) {
   Timer timer(context_.executor);
   Backoff backoff;
--- a/src/jobs/job_runner.h
+++ b/src/jobs/job_runner.h
@@ -1,5 +1,5 @@
 /// @file
-/// Runs the jobs of the slots that this node holds.
+/// Runs the batch jobs of the group slots assigned to this node.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -27,48 +27,49 @@
 
 /// Settings of a job runner.
 struct JobRunnerSettings {
-  std::string member_name;      ///< Of this node in the workers' group; the same after a restart.
-  Duration status_lifetime{0};  ///< Results stay readable this long after the submission.
-  Duration clock_skew{0};       ///< Most that the nodes' clocks differ.
+  std::string member_name;      ///< Name of this node in the worker group; stable across restarts.
+  Duration status_lifetime{0};  ///< Time after submission during which results stay readable.
+  Duration clock_skew{0};       ///< Maximum difference between the clocks of two nodes.
 };
 
-/// Starts jobs when they are accepted or their slot is gained, stops them when they are ended or
-/// finished or their slot is lost, and marks them finished. Used on one thread.
+/// Starts a job when it is accepted or its slot is assigned to this node, stops it when it is
+/// cancelled or finished or its slot is revoked, and marks it finished once each of its items has a
+/// durable result. Not thread-safe.
 class JobRunner {
  public:
   JobRunner(GatewayContext& context, JobStore& store, RecordLog& log, JobRunnerSettings settings);
 
-  /// Called with the names of the workers' group after each change.
+  /// Called with the member names of the worker group after each membership change.
   using MembersListener = std::function<void(const std::vector<std::string>&)>;
   void set_members_listener(MembersListener listener) { members_listener_ = std::move(listener); }
 
   void start();
-  /// Planned stop: gives the slots up with their progress written, and leaves the group.
+  /// Shuts down in an orderly way: writes the progress of the running items, releases all slots and
+  /// leaves the group.
   boost::asio::awaitable<void> stop();
 
-  /// A run at a runner that the request names gives its slot back: one that will be late anyway, or
-  /// the one with the most slack.
-  /// @return false if there is none.
+  /// Preempts one batch item on a runner that matches the request, to free its slot. Prefers an
+  /// item that will miss its objective anyway, then the one with the most slack.
+  /// @return false if no running item matches.
   bool yield_place(const YieldRequest& request);
 
   [[nodiscard]] std::size_t running_items() const { return running_items_; }
   [[nodiscard]] std::size_t unwritten_results() const { return writer_.pending(); }
   [[nodiscard]] std::size_t waiting_items() const { return waiting_.size(); }
-  /// Where the open items are now.
+  /// Returns the number of open items by stage, and the oldest item.
   [[nodiscard]] StageSummary item_stages() const { return stages_.summary(monotonic_now()); }
 
  private:
-  /// A job that this node runs.
+  /// State of a job that this node runs.
   struct ActiveJob {
     std::string host;
     std::string path;
     std::string tenant;
     std::int64_t submitted_ms = 0;
     std::vector<JobItem> items;
-    std::map<std::uint32_t, ItemRequest> requests;  ///< Of the items that wait to be run.
+    std::map<std::uint32_t, ItemRequest> requests;  ///< Requests of waiting items, by item.
     std::map<std::uint32_t, std::shared_ptr<ItemRun>> runs;
-    RoomHolder
-        capacity_key;  ///< What its items count towards; fixed when the first one may be read.
+    RoomHolder capacity_key;  ///< Account charged for its items; set before any request is read.
     std::uint64_t finished_tokens = 0;
     std::set<std::uint32_t> unfinished_items;  ///< Items without a durable result.
     bool stopped = false;
@@ -76,7 +77,8 @@
   void queue_checkpoint(const ItemRun& run);
   [[nodiscard]] std::size_t item_limit() const;
 
-  /// An item whose request is read and that waits to be run, the most urgent first.
+  /// An item whose request has been read and that waits to be started. Ordered by the submission
+  /// time of its job.
   struct WaitingItem {
     std::int64_t submitted_ms = 0;
     JobKey job;
@@ -87,19 +89,19 @@
 
   void on_job_changed(const JobKey& key, const JobEntry& job);
   void start_job(const JobKey& key, const JobEntry& job);
-  /// @return the items that are to be run.
+  /// @return the items without a durable result, which are to be run.
   std::vector<std::uint32_t> on_job_loaded(const JobKey& key,
                                            const std::shared_ptr<ActiveJob>& job);
   void on_request_read(const JobKey& key, ActiveJob& job, std::uint32_t index, ItemRequest request);
   void stop_job(const JobKey& key, bool keep_progress);
   void start_waiting_items();
-  /// Returns whether more requests of the job may be read.
+  /// Returns whether the limits allow reading more requests of the job.
   [[nodiscard]] bool can_read_requests(const JobKey& key) const;
   [[nodiscard]] RoomHolder capacity_key_of(const JobKey& key, const ActiveJob& job) const;
-  /// Gives the turn of the next item that may have one to it.
+  /// Starts the first waiting item that the concurrency limits admit.
   /// @return false if there is none.
   bool start_next_item();
-  /// Notes an item's stage; one that was stopped, or has a durable result, has none.
+  /// Records an item's stage; ignored if the job was stopped or the item has a durable result.
   void enter_stage(const JobKey& key, const ActiveJob& job, std::uint32_t index, ItemStage stage);
   [[nodiscard]] std::string item_id(const JobKey& key, std::uint32_t index) const;
   boost::asio::awaitable<void> run_item(WaitingItem item, std::shared_ptr<ActiveJob> job,
@@ -126,15 +128,15 @@
   ItemStageLog stage_log_;
   std::set<JobKey> jobs_with_changed_counts_;
   CheckpointTable durable_checkpoints_;
-  /// Progress that is to be written, by partition.
+  /// Progress to be written in the next round, by partition.
   std::map<PartitionName, std::vector<ItemProgress>> pending_checkpoints_;
   TimePoint started_{};
   MembersListener members_listener_;
   std::size_t running_items_ = 0;
-  SharedRoom running_capacity_;       ///< Of items that run or wait for a slot.
-  SharedRoom waiting_capacity_;       ///< Of items that wait for their turn.
-  SharedRoom request_byte_capacity_;  ///< Of items that wait or run.
-  HeldRequests held_requests_;        ///< The same bytes, in the budget of the process.
+  SharedRoom running_capacity_;       ///< Limits items that run or wait for a runner's slot.
+  SharedRoom waiting_capacity_;       ///< Limits items that wait to be started.
+  SharedRoom request_byte_capacity_;  ///< Limits request bytes of waiting and running items.
+  HeldRequests held_requests_;        ///< Charges those bytes to the process memory budget.
   bool stopping_ = false;
 };
 
--- a/src/jobs/job_runner_upkeep.cc
+++ b/src/jobs/job_runner_upkeep.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Upkeep of a job runner: progress counts, checkpoints of running items, deletion of old jobs.
+/// Periodic maintenance of a job runner: progress counts, checkpoints of running items, deletion of
+/// expired jobs.
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
@@ -11,11 +12,11 @@
 
 namespace asio = boost::asio;
 
-/// Between rounds of upkeep: progress counts and deletion of old jobs.
+/// Interval between maintenance rounds, which write progress counts and delete expired jobs.
 constexpr Duration kMaintenanceInterval = std::chrono::milliseconds(700);
-/// Rounds of upkeep between two records of how far running items came.
+/// Number of maintenance rounds between two checkpoints of running items.
 constexpr int kRoundsPerCheckpoint = 3;
-/// Bytes of a checkpoint record that are not its text.
+/// Upper estimate of the bytes of a checkpoint record without its text.
 constexpr std::uint64_t kRecordOverheadBytes = 600;
 
 }  // namespace
@@ -62,7 +63,8 @@
       const std::uint64_t size = entry.text.size() + kRecordOverheadBytes;
       const bool fits =
           size <= store_.limits().record_bytes && bytes + size <= store_.limits().call_bytes;
-      // What does not fit is only read again if this node is lost.
+      // A checkpoint that does not fit is skipped: the item restarts further back if this node
+      // fails.
       if (!fits) continue;
       bytes += size;
       records.push_back({progress_record_key(entry.job, entry.item), encode(entry)});
@@ -70,7 +72,7 @@
     }
     if (records.empty()) continue;
     const LogStatus status = co_await store_.append_records(partition, std::move(records));
-    // Without an answer it may be durable or not; then it is written again in the next round.
+    // Without an answer the append may or may not be durable; the next round writes it again.
     if (status != LogStatus::kOk) continue;
     for (const ItemProgress* entry : included) {
       if (jobs_.contains(entry->job)) durable_checkpoints_.mark_durable(*entry);
@@ -86,7 +88,7 @@
     const auto job = found->second;
     const auto configuration = context_.configuration;
     const Route* route = configuration ? configuration->find_route(job->host, job->path) : nullptr;
-    // Only the limit on queued tokens needs the count.
+    // The count is only used to enforce the limit on queued tokens.
     if (route == nullptr || route->max_queued_tokens == 0) continue;
     const LogStatus status = co_await store_.mark(job->host, JobRecordKind::kProgress, key,
                                                   encode_tokens(job->finished_tokens));
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -65,12 +65,12 @@
 void JobTable::reset(const std::vector<StoredRecord>& newest) {
   std::map<JobKey, JobEntry> previous = std::move(jobs_);
   jobs_.clear();
-  // In the order of the log a job's submission comes before the mark that it is finished: nobody is
-  // told of a job before all of its records are applied.
+  // In log order a job's submission precedes its finished mark. Defer listener calls until all
+  // records are applied, so that a finished job is never reported as open.
   replaying_ = true;
   for (const auto& record : newest) apply(record);
   replaying_ = false;
-  // A progress count that was written late may lie behind what was known here.
+  // A progress count that was written late may be lower than the count already known.
   for (auto& [key, job] : jobs_) {
     const auto known = previous.find(key);
     if (known == previous.end()) continue;
--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// The jobs of one partition of the jobs topic: a fold of its records.
+/// Materialized view of one partition of the jobs topic.
 #pragma once
 
 #include <functional>
@@ -10,21 +10,20 @@
 
 namespace stoathold {
 
-/// One job as the log holds it.
+/// State of one job as recorded in the log.
 struct JobEntry {
   JobSubmission submission;
-  bool ended = false;                 ///< Its submitter ended it: nothing more is run.
-  bool finished = false;              ///< All of its items are listed.
+  bool ended = false;                 ///< Cancelled by its submitter; no more items are run.
+  bool finished = false;              ///< Each of its items has a listed result.
   std::uint64_t finished_tokens = 0;  ///< Of its listed items, as last reported; may lag.
 
   [[nodiscard]] bool open() const { return !ended && !finished; }
 };
 
-/// Folds records in the order of their offsets; equal at all nodes that have read as far.
+/// Applies records in offset order. Nodes that have applied the same records have the same state.
 class JobTable final : public RecordSink {
  public:
-  /// Called after a job was added, was ended or was finished; one that is erased counts as
-  /// finished.
+  /// Called after a job is added, cancelled or finished. An erased job is reported as finished.
   using Listener = std::function<void(const JobKey&, const JobEntry&)>;
 
   explicit JobTable(Listener listener) : listener_(std::move(listener)) {}
@@ -32,10 +31,11 @@
   void apply(const StoredRecord& record) override;
   void reset(const std::vector<StoredRecord>& newest) override;
 
-  /// Returns the job, or null.
+  /// Returns the job, or null if the table does not contain it.
   [[nodiscard]] const JobEntry* find(const JobKey& key) const;
   [[nodiscard]] const std::map<JobKey, JobEntry>& jobs() const { return jobs_; }
-  /// Tokens of a tenant's items on a route that wait or run, over all nodes. Never too low.
+  /// Returns the tokens of a tenant's queued and running items on a route, over all nodes. Progress
+  /// counts lag, so the value may be too high but never too low.
   [[nodiscard]] std::uint64_t queued_tokens(const std::string& route,
                                             const std::string& tenant) const;
 
@@ -46,7 +46,7 @@
 
   Listener listener_;
   std::map<JobKey, JobEntry> jobs_;
-  bool replaying_ = false;  ///< The newest records are applied in place of a lost history.
+  bool replaying_ = false;  ///< `reset` is applying records; listener calls are deferred.
 };
 
 }  // namespace stoathold
--- a/src/jobs/slot_membership.cc
+++ b/src/jobs/slot_membership.cc
@@ -14,9 +14,9 @@
 namespace asio = boost::asio;
 
 constexpr const char* kGroup = "job-workers";
-/// Silence after which a member's slots pass to others.
+/// Time without a heartbeat after which a member's slots are assigned to others.
 constexpr Duration kTimeToLive = std::chrono::milliseconds(2500);
-/// A member says this often that it lives: three may be lost.
+/// Interval between heartbeats; three fit into `kTimeToLive`.
 constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(800);
 
 std::set<std::uint32_t> difference(const std::set<std::uint32_t>& left,
@@ -74,7 +74,7 @@
       const bool changed = assignment.generation != member_.generation;
       member_.generation = assignment.generation;
       co_await apply_assignment(assignment);
-      // The others wait for this member to say that it has heard of the change.
+      // The other members wait until this one acknowledges the new generation.
       if (changed) wait = Duration{0};
       if (!changed && members_generation_ != member_.generation) co_await refresh_members();
     } else {
--- a/src/jobs/slot_membership.h
+++ b/src/jobs/slot_membership.h
@@ -1,5 +1,5 @@
 /// @file
-/// This node's membership in the group of workers, and the slots of jobs that it holds by it.
+/// Membership of this node in the worker group, and the job slots assigned to it.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -12,27 +12,28 @@
 
 namespace stoathold {
 
-/// What to do when slots come and go.
+/// Callbacks for changes of the slot assignment and of the group.
 struct SlotHandlers {
-  /// Slots were gained; work on them may begin.
+  /// Called after slots were assigned to this node; their jobs may be started.
   std::function<void(const std::set<std::uint32_t>&)> gained;
-  /// Slots are to be given up: returns once progress is written. Only then do they pass to another.
+  /// Called when slots are revoked; completes once the progress of their jobs is written. The slots
+  /// are assigned to another member only after that.
   std::function<boost::asio::awaitable<void>(std::set<std::uint32_t>)> lost;
-  /// The members of the group, this one among them, after each change.
+  /// Called with the names of all group members, including this one, after each change.
   std::function<void(const std::vector<std::string>&)> members_changed;
 };
 
-/// Stays in the group for as long as the process runs. A slot that is held is a hint, not a right:
-/// the order of the log decides whose results count, so two holders cost work but harm nothing.
-/// Used on one thread.
+/// Keeps this node in the worker group and tracks its slots. Slot ownership is advisory: the log
+/// order decides which results count, so two owners of a slot duplicate work but cause no wrong
+/// results. Not thread-safe.
 class SlotMembership {
  public:
   SlotMembership(boost::asio::any_io_executor executor, RecordLog& log, std::string member_name,
                  SlotHandlers handlers);
 
-  /// Joins and stays in the group until `leave`.
+  /// Joins the group and sends heartbeats until `leave` is called.
   boost::asio::awaitable<void> run();
-  /// Gives all slots up and leaves the group.
+  /// Releases all slots and leaves the group.
   boost::asio::awaitable<void> leave();
 
   [[nodiscard]] bool holds(std::uint32_t slot) const { return slots_.contains(slot); }
--- a/tests/jobs/checkpoint_table_test.cc
+++ b/tests/jobs/checkpoint_table_test.cc
@@ -33,7 +33,7 @@
 }
 
 TEST(CheckpointTableTest, ProgressOfAReturningJobIsWrittenAgain) {
-  // Meanwhile another node may have run it, and written less.
+  // Another node may have run the job in between and written less progress.
   CheckpointTable table;
   table.mark_durable(make_progress("j1", 0, 7));
   table.mark_durable(make_progress("j1", 9, 7));
--- a/tests/jobs/job_runner_test.cc
+++ b/tests/jobs/job_runner_test.cc
@@ -28,7 +28,7 @@
   return job;
 }
 
-/// A node that holds all slots, on a log where other nodes have submitted jobs.
+/// A node that holds all slots, on a log with submitted jobs.
 class JobRunnerTest : public testing::Test {
  protected:
   JobRunnerTest()
@@ -41,7 +41,7 @@
     std::iota(log.held_slots.begin(), log.held_slots.end(), 0);
   }
 
-  /// Submits a job and lists the result of its only item.
+  /// Submits a job and writes the result of its only item.
   void submit_finished(const std::string& id) {
     EXPECT_EQ(run_awaitable(loop, store.submit(make_job(id))), SubmitStatus::kAccepted);
     const JobKey key = make_job_key(kHost, id);
@@ -67,11 +67,11 @@
   JobRunner runner;
 };
 
-/// After all nodes had lost power, the small machines of a fleet (0.12 of a core, 30 Mbit/s) took
-/// up several jobs each and read all of them at once. A read of a job brings up to 1 MB; together
-/// they did not come through in the second that a call may take, were sent again together, and so
-/// on: on one such machine 22 reads were given up and one job took 20.6 s until it was read, while
-/// its large neighbours needed 0.4 to 1.9 s. Jobs that were never read were never run.
+/// Guards against reading all jobs at once after a restart of the fleet. Each read returns up to
+/// 1 MB; on a small machine (0.12 of a core, 30 Mbit/s) concurrent reads exceed their timeout of 1
+/// s together and are retried together, so that jobs are read very late or never and do not run. On
+/// one such machine 22 reads timed out and one job took 20.6 s to be read, compared with 0.4 to
+/// 1.9 s on large machines. The log then shows:
 ///
 ///     job_load_retried  step=results  status=unknown
 TEST_F(JobRunnerTest, JobsStartedTogetherAreReadWithLimitedConcurrency) {
@@ -86,8 +86,8 @@
   EXPECT_LE(log.max_concurrent_newest_reads, 2);
 }
 
-/// Without a configuration there is no route: a read item backs off, and is seen there until its
-/// slot is lost.
+/// Without a configuration there is no route, so the open item stays in the backing-off stage until
+/// the node gives up its slot.
 TEST_F(JobRunnerTest, OpenItemIsReportedInItsStageUntilTheNodeStopsRunningIt) {
   EXPECT_EQ(run_awaitable(loop, store.submit(make_job("open"))), SubmitStatus::kAccepted);
   submit_finished("done");
--- a/tests/jobs/job_table_test.cc
+++ b/tests/jobs/job_table_test.cc
@@ -9,7 +9,7 @@
 
 constexpr const char* kHost = "drafts.example";
 
-/// A table, and what it told: the job's id, and whether it was open.
+/// A table, and the listener calls that it made: the key of the job and whether it was open.
 class JobTableTest : public testing::Test {
  protected:
   JobTableTest()
@@ -40,8 +40,9 @@
   EXPECT_EQ(notified, (Notifications{{key_of("j1"), true}, {key_of("j1"), false}}));
 }
 
-/// After a loss of all nodes 155 of the 169 jobs that were started had finished long before: their
-/// submissions were applied before their marks, and a job was begun, and its results read, at once.
+/// Guards against starting finished jobs when the log is replayed: a submission is applied before
+/// the finished mark of its job, and a listener that is called in between starts the job and reads
+/// its results. After a restart of all nodes, 155 of 169 jobs started had finished long before.
 TEST_F(JobTableTest, JobReadTogetherWithItsFinishedMarkIsNeverReportedAsOpen) {
   table.reset({submission("j1"), submission("j2"), record(JobRecordKind::kFinished, "j1")});
   EXPECT_EQ(notified, (Notifications{{key_of("j1"), false}, {key_of("j2"), true}}));
@@ -60,7 +61,7 @@
 }
 
 TEST_F(JobTableTest, SubmissionsOfTheOldFormatAreDecoded) {
-  // The same fields without the last two: a number, and a text behind its length.
+  // The old format lacks the last two fields: a number, and a string preceded by its length.
   JobSubmission spread;
   spread.id = "j1";
   spread.host = kHost;
