--- a/src/jobs/item_run.cc
+++ b/src/jobs/item_run.cc
@@ -20,24 +20,24 @@
 namespace asio = boost::asio;
 
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(500);
-/// A run without an event for so long is taken up at another runner.
+/// Maximum wait for the first event and for each later one; then another runner resumes the item.
 constexpr Duration kFirstEventTimeout = std::chrono::milliseconds(4000);
 constexpr Duration kEventGapTimeout = std::chrono::milliseconds(1500);
-/// Events over which the time between two of them is measured: runners send some together.
+/// Events over which the time between two is averaged, since runners send some of them together.
 constexpr std::uint64_t kGapWindowEvents = 10;
-/// After this time without a place the route is looked at anew.
+/// Maximum wait for a runner's slot before the route is looked up again.
 constexpr Duration kPlacementTimeout = std::chrono::seconds(2);
-/// Between looks for a configuration or a route.
+/// Interval between lookups while the configuration or the route is missing.
 constexpr Duration kRoutePollInterval = std::chrono::milliseconds(100);
-/// Between looks whether an item may reach runners again.
+/// Interval between checks of whether a quarantined item may be sent to runners again.
 constexpr Duration kQuarantinePollInterval = std::chrono::seconds(1);
-/// A route must be missing this long before its items are given up.
+/// Time for which a route must be missing before its items are dead-lettered.
 constexpr Duration kMissingRouteGracePeriod = std::chrono::seconds(5);
-/// Load up to which a runner is given items. Online work takes their slots back within
-/// milliseconds, so little is kept free for it.
+/// Maximum load of a runner that receives batch items. Online requests preempt batch items within
+/// milliseconds, so only a small reserve is kept free for them.
 constexpr double kBatchLoadLimit = 0.85;
-/// Failures that an item may have for each attempt that its route allows, where runners that fail
-/// much of what they are given are to blame: one less than what the users' rules allow.
+/// Maximum failures of an item for each attempt that its route allows, including failures excused
+/// because the runner fails many of its requests. One less than the service requirements allow.
 constexpr std::uint32_t kMaxFailuresPerAttempt = 2;
 constexpr BackoffBounds kRetryBounds{std::chrono::milliseconds(30), std::chrono::milliseconds(800)};
 
@@ -85,7 +85,7 @@
 }
 
 Duration ItemRun::age() const {
-  // The clock of the node that took the job may be ahead of this one's.
+  // The clock of the node that accepted the job may be ahead of this node's clock.
   return std::chrono::milliseconds(std::max<std::int64_t>(0, wall_clock_ms() - item_.submitted_ms));
 }
 
@@ -123,7 +123,7 @@
   request.tenant = item_.tenant;
   request.route = route.name;
   request.slot_time = schedule.remaining;
-  // Who must begin first goes first, and what will be late anyway goes last.
+  // Items with the earliest start deadline go first; items that will be late anyway go last.
   request.due = schedule.objective.count() > 0 ? now + schedule.slack() : TimePoint::max();
   request.give_up = now + kPlacementTimeout;
   const QueueEntry entry = join_queue(request, schedule);
@@ -152,7 +152,7 @@
   return entry;
 }
 
-/// The item goes to runners where it has not failed yet, as long as there are any.
+/// Excludes runners on which the item has failed, as long as the service has other runners.
 std::vector<std::uint64_t> ItemRun::runners_to_avoid(const std::string& service) const {
   const bool has_others = failed_runners_.size() < context_.runners.of_service(service).size();
   return has_others ? failed_runners_ : std::vector<std::uint64_t>{};
@@ -184,8 +184,8 @@
   return result;
 }
 
-/// An error of a runner that fails much of what it is given says nothing about the item. Errors at
-/// other runners do; and there is a bound on how often an item may fail at all.
+/// Failures on suspect runners, which fail many of their requests, are not held against the item;
+/// failures on other runners are. The total number of failures is limited in any case.
 bool ItemRun::has_exhausted_attempts(const Route& route) const {
   if (progress_.failures >= kMaxFailuresPerAttempt * route.max_attempts) return true;
   const TimePoint now = monotonic_now();
@@ -220,7 +220,7 @@
     route_missing_since.reset();
     if (is_expired(*route)) co_return make_result(ItemState::kDeadLettered);
     if (quarantine_check_.is_quarantined()) {
-      // Given up when its retention is over, as an item that no runner can do.
+      // Dead-lettered when its retention ends, like an item that no runner can process.
       set_stage(ItemStage::kQuarantined);
       co_await sleep_for(kQuarantinePollInterval);
       continue;
@@ -299,7 +299,7 @@
   } else {
     upstream->cancel();
   }
-  // An item that got on did not end its runner as it began; the next run goes on behind that.
+  // An item that delivered events did not crash the runner on start; a retry resumes after them.
   quarantine_check_.note_run(
       {.runner = runner->hash(),
        .stage = stage_,
@@ -310,8 +310,8 @@
   co_return result;
 }
 
-/// An item that fails everywhere is evidence against a runner once, however often it is tried
-/// there.
+/// Counts the failures of one item against a runner only once, however often the item is retried
+/// there: an item that fails everywhere must not make healthy runners suspect.
 AttemptOutcome ItemRun::attempt_outcome(const Runner& runner, AttemptResult result) const {
   const bool failed_before = std::find(failed_runners_.begin(), failed_runners_.end(),
                                        runner.hash()) != failed_runners_.end();
@@ -388,7 +388,7 @@
     }
     record_event_gap(window);
   }
-  // The end of a connection proves nothing: the stream may have been cut between two events.
+  // The end of the connection does not prove completeness: it may cut the stream between events.
   const bool has_explicit_end = upstream_->head().framing != BodyFraming::kUntilClose;
   const bool is_complete = framer.rest().empty() && progress_.last_event > 0;
   if (!is_complete || !has_explicit_end) co_return AttemptResult::kBroken;
--- a/src/jobs/item_run.h
+++ b/src/jobs/item_run.h
@@ -1,5 +1,5 @@
 /// @file
-/// Runs one item of a batch job at runners until it has a result.
+/// Runs one item of a batch job on runners until it has a result.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -22,44 +22,48 @@
 
 namespace stoathold {
 
-/// What an item's run needs to know of its job.
+/// Identity of an item and the properties of its job that a run needs.
 struct ItemContext {
   JobKey job;
   std::uint32_t index = 0;
   std::string item_id;
   std::string host;
-  std::string path;    ///< The job was submitted to; finds the route.
-  std::string tenant;  ///< Whose job it is; empty: anonymous.
+  std::string path;    ///< Path that the job was submitted to; selects the route.
+  std::string tenant;  ///< Tenant that owns the job; empty: anonymous.
   std::int64_t submitted_ms = 0;
 };
 
-/// One item on its way to a result. Lives in a shared pointer as long as its coroutine.
+/// Executes one item, with retries, until it has a result. Must be owned by a shared pointer; the
+/// coroutine of `run` keeps it alive.
 ///
-/// A run that breaks is continued behind its last event at any runner; only the runner's own errors
-/// count as failures. `stop` makes `run` return without a result, with the progress kept.
+/// An attempt whose connection breaks is resumed after its last event on any runner; only errors
+/// reported by a runner count as failures. `stop` makes `run` return without a result and keeps the
+/// progress.
 class ItemRun : public std::enable_shared_from_this<ItemRun> {
  public:
   ItemRun(GatewayContext& context, ItemContext item, ItemRequest request, ItemProgress progress,
           Duration clock_skew);
 
-  /// Called when the item comes to another stage.
+  /// Called when the item enters a stage.
   using StageListener = std::function<void(ItemStage)>;
   void set_stage_listener(StageListener listener) { stage_listener_ = std::move(listener); }
 
-  /// Runs until there is a result, or nothing if it was stopped.
+  /// Runs the item.
+  /// @return its result, or nothing if it was stopped.
   boost::asio::awaitable<std::optional<ItemResult>> run();
-  /// Ends the run; the runner stops work.
+  /// Stops the run and cancels the request at the runner.
   void stop();
-  /// Gives the place back; the run goes on behind its last event once there is room again.
+  /// Releases the runner's slot; the run resumes after its last event once a slot is free again.
   void yield();
   [[nodiscard]] bool yielding() const { return yielding_; }
-  /// The runner it runs at now, or null.
+  /// Returns the runner that executes the item now, or null.
   [[nodiscard]] const std::shared_ptr<Runner>& runner() const { return runner_; }
   [[nodiscard]] TimePoint placed_at() const { return placed_at_; }
-  /// How urgent the item is now.
+  /// Returns the current schedule of the item, from which its urgency follows.
   [[nodiscard]] ItemSchedule schedule() const;
 
-  /// How far the item came; worth keeping if it has events or failures.
+  /// Returns the progress of the item. It needs a checkpoint only if `has_progress` holds: if it
+  /// has events or failures.
   [[nodiscard]] const ItemProgress& progress() const { return progress_; }
   [[nodiscard]] bool has_progress() const {
     return progress_.last_event > 0 || progress_.failures > 0;
@@ -78,13 +82,13 @@
   boost::asio::awaitable<void> sleep_for(Duration duration);
   [[nodiscard]] UpstreamRequest build_request(const Runner& runner) const;
   boost::asio::awaitable<std::shared_ptr<Runner>> acquire_runner(const Route& route);
-  /// Its wait among those of all nodes of the zone.
+  /// Entry of this item in the batch queue that the nodes of the zone share.
   struct QueueEntry {
-    bool active = false;  ///< Nodes take turns.
+    bool active = false;  ///< Whether the nodes share a queue.
     std::uint64_t service = 0;
     ItemUrgency urgency = ItemUrgency::kInTime;
   };
-  /// Begins to wait among them, and fills in what follows for the request.
+  /// Joins the shared batch queue, and sets the fields of the request that depend on it.
   QueueEntry join_queue(PlacementRequest& request, const ItemSchedule& schedule);
   [[nodiscard]] bool is_expired(const Route& route) const;
   [[nodiscard]] ItemResult make_result(ItemState state) const;
@@ -101,20 +105,22 @@
   Duration clock_skew_;
   QuarantineCheck quarantine_check_;
   PromptPrefix prompt_;
-  TokenCount answer_tokens_;          ///< Most of the item; 0: not known.
-  std::string route_name_;            ///< As last looked up.
-  Duration objective_{0};             ///< Of that route, from the submission to the result.
-  std::uint32_t tokens_to_read_ = 0;  ///< Of the current attempt, until its answer begins.
+  TokenCount answer_tokens_;  ///< Maximum output tokens of the item; 0: unknown.
+  std::string route_name_;    ///< Name of the route as of the last lookup.
+  Duration objective_{0};     ///< Completion objective of that route, from submission to result.
+  /// Expected prompt tokens of the current attempt; 0 once its answer begins.
+  std::uint32_t tokens_to_read_ = 0;
   std::shared_ptr<PlacementTicket> ticket_;
   std::shared_ptr<UpstreamExchange> upstream_;
   std::shared_ptr<Runner> runner_;
   TimePoint placed_at_{};
   std::uint32_t send_count_ = 0;
-  RunStage stage_ = RunStage::kWaiting;  ///< Of the current attempt.
-  /// Starts of runners that answered this run with an error of their own, by `Runner::hash`.
+  RunStage stage_ = RunStage::kWaiting;  ///< Stage of the current attempt.
+  /// `Runner::hash` of each runner process that answered this item with an error of its own. A
+  /// restarted runner has another hash.
   std::vector<std::uint64_t> failed_runners_;
-  std::string choice_;      ///< What decided the current attempt's runner, for logs.
-  RunnerWork runner_work_;  ///< What decides the times of its answer.
+  std::string choice_;      ///< Why the runner of the current attempt was selected, for logs.
+  RunnerWork runner_work_;  ///< Runner load at selection, which affects its response times.
   bool yielding_ = false;
   StageListener stage_listener_;
   Timer timer_;
--- a/src/jobs/item_stage_log.cc
+++ b/src/jobs/item_stage_log.cc
@@ -13,7 +13,8 @@
 
 namespace asio = boost::asio;
 
-/// Between two lines: an item that stands still for as long as its objective has several.
+/// Interval between log lines. Short enough that an item that is stuck for as long as its
+/// completion objective appears in several lines.
 constexpr Duration kLogInterval = std::chrono::seconds(5);
 
 }  // namespace
--- a/src/jobs/item_stage_log.h
+++ b/src/jobs/item_stage_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// Tells regularly in the log where the open items of a node are.
+/// Periodically logs the stages of the open items of a node.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -11,16 +11,17 @@
 
 namespace stoathold {
 
-/// Writes one line at a steady pace while the table holds jobs. Used on one thread; outlives `run`.
+/// Writes one log line per interval while the table contains open jobs. Not thread-safe; must
+/// outlive `run`.
 class ItemStageLog {
  public:
-  /// Returns the id of an item by its job and index.
+  /// Returns the id of an item, given its job and index.
   using ItemIdLookup = std::function<std::string(const JobKey&, std::uint32_t)>;
 
   ItemStageLog(boost::asio::any_io_executor executor, const ItemStages& stages,
                ItemIdLookup item_id_lookup);
 
-  /// Goes on for as long as `running` holds.
+  /// Logs until `running` returns false.
   boost::asio::awaitable<void> run(std::function<bool()> running) const;
 
  private:
--- a/src/jobs/item_stages.cc
+++ b/src/jobs/item_stages.cc
@@ -7,7 +7,7 @@
 namespace stoathold {
 namespace {
 
-/// Counts items that have been in a stage for a time.
+/// Adds items that have been in a stage for a given time to the summary.
 void count(StageSummary& summary, ItemStage stage, std::size_t items, Duration time_in_stage) {
   StageCount& stage_count = summary.stages[static_cast<std::size_t>(stage)];
   stage_count.items += items;
--- a/src/jobs/item_stages.h
+++ b/src/jobs/item_stages.h
@@ -1,5 +1,5 @@
 /// @file
-/// Where each open item of the jobs that a node runs is, and since when.
+/// The current stage of each open item of the jobs that a node runs, and when it was entered.
 #pragma once
 
 #include <array>
@@ -15,44 +15,43 @@
 
 namespace stoathold {
 
-/// What an open item waits for, in the order in which an item goes on.
+/// Stage of an open item, in the usual order of processing.
 enum class ItemStage : std::uint8_t {
-  kJobQueued,       ///< Its job's results and progress are being read, or wait to be.
-  kReadingRequest,  ///< Its request is being read, or waits to be.
-  kWaitingForTurn,  ///< Its request is read; this node works on as many items as it may.
-  kWaitingForSlot,  ///< At a runner.
-  kQuarantined,     ///< Its request is kept from runners.
+  kJobQueued,       ///< The results and progress of its job are queued or being read.
+  kReadingRequest,  ///< Its request is queued or being read.
+  kWaitingForTurn,  ///< Its request is read; the node is at its item concurrency limit.
+  kWaitingForSlot,  ///< Waits for a free slot of a runner.
+  kQuarantined,     ///< Its request is quarantined and not sent to runners.
   kRunning,
-  kBackingOff,  ///< After an attempt that failed, or while its route is missing.
+  kBackingOff,  ///< Waits after a failed attempt, or while its route is missing.
   kWritingResult,
 };
 
-/// Stages that there are.
 inline constexpr std::size_t kItemStageCount = 8;
 
 /// Returns the stage's name for logs and metrics.
 std::string_view to_string(ItemStage stage);
 
-/// The items of one stage.
+/// Statistics of the items in one stage.
 struct StageCount {
   std::size_t items = 0;
-  Duration oldest{0};  ///< Longest time that one of them has been in the stage; 0: there is none.
+  Duration oldest{0};  ///< Longest time that an item has been in the stage; 0 if there is none.
 };
 
-/// The item of the job that this node has had for longest, of its items the one that has been in
+/// The oldest open item: of the job that this node has run for longest, the item that has been in
 /// its stage for longest.
 struct OldestItem {
   JobKey job;
-  std::optional<std::uint32_t> index;  ///< Empty: the whole job.
+  std::optional<std::uint32_t> index;  ///< Empty if the job has not been read yet.
   ItemStage stage = ItemStage::kJobQueued;
   Duration time_in_stage{0};
-  Duration time_on_node{0};  ///< Since this node took the job up.
+  Duration time_on_node{0};  ///< Time since this node started the job.
 };
 
-/// All open items at one moment.
+/// Summary of all open items at one point in time.
 struct StageSummary {
   std::array<StageCount, kItemStageCount> stages{};
-  std::size_t jobs_queued = 0;  ///< Whole jobs that are not read yet.
+  std::size_t jobs_queued = 0;  ///< Jobs that have not been read yet.
   std::size_t open_items = 0;
   std::optional<OldestItem> oldest;
 
@@ -61,21 +60,23 @@
   }
 };
 
-/// Returns the stages that hold items, each as `name=items/seconds of the oldest`.
+/// Returns the non-empty stages as a comma-separated list of `name=items/seconds of the oldest`.
 std::string stages_text(const StageSummary& summary);
 
-/// One row for each open item, and one for a whole job that is not read yet. Used on one thread.
+/// Tracks the stage of each open item; a job that has not been read yet is tracked as a whole. Not
+/// thread-safe.
 class ItemStages {
  public:
-  /// A job was taken up; its items wait until it is read.
+  /// Adds a job that this node started; its items are in `kJobQueued` until it has been read.
   void add_job(const JobKey& job, std::size_t items, TimePoint now);
-  /// A job was read; its open items are entered one by one.
+  /// Records that a job has been read; its open items are then added by calls to `enter`.
   void mark_job_read(const JobKey& job);
-  /// An item of a job that was added came to a stage; the time in it goes on if it was there.
+  /// Sets the stage of an item; ignored if its job is unknown. The time in the stage continues if
+  /// the item already was in it.
   void enter(const JobKey& job, std::uint32_t index, ItemStage stage, TimePoint now);
-  /// An item is no longer open.
+  /// Removes an item that is no longer open.
   void remove_item(const JobKey& job, std::uint32_t index);
-  /// A job is no longer run here.
+  /// Removes a job that this node no longer runs.
   void remove_job(const JobKey& job);
 
   [[nodiscard]] bool empty() const { return jobs_.empty(); }
--- a/src/jobs/stage_metrics.h
+++ b/src/jobs/stage_metrics.h
@@ -1,5 +1,5 @@
 /// @file
-/// The stages of open items and what was read of results as gauges of the metrics page.
+/// Gauges of the metrics page for the stages of open items and the result bytes read.
 #pragma once
 
 #include <vector>
@@ -10,10 +10,10 @@
 
 namespace stoathold {
 
-/// Adds the items of each stage and the age of the oldest in it, empty stages too.
+/// Adds the item count of each stage and the age of its oldest item, including empty stages.
 void add_stage_gauges(const StageSummary& summary, std::vector<MetricValue>& gauges);
 
-/// Adds what was read of results, lists and texts apart.
+/// Adds the result bytes read from the log, with separate gauges for listings and texts.
 void add_result_gauges(const ResultBytes& read, std::vector<MetricValue>& gauges);
 
 }  // namespace stoathold
--- a/tests/jobs/item_run_test.cc
+++ b/tests/jobs/item_run_test.cc
@@ -8,8 +8,8 @@
 namespace stoathold {
 namespace {
 
-// Events were once taken from tokens, so that the work left was overstated by the tokens of an
-// event, and every item counted as late from its first moment.
+// Guards against estimating the remaining events from tokens: an event has several tokens, so the
+// remaining time is overestimated and every item counts as late from the start.
 TEST(ItemRunTest, RemainingTimeIsEstimatedInEvents) {
   boost::asio::io_context loop;
   GatewayContext context(loop.get_executor(), HeaderDialect{}, "zone");
@@ -24,7 +24,8 @@
   EXPECT_EQ(run->schedule().remaining, std::chrono::milliseconds(100 * 34));
 }
 
-/// An item whose route a node's configuration lacks, and whether the store confirms that.
+/// Runs an item whose route is missing from the node's configuration. `log_status` decides whether
+/// the store confirms that the configuration is current.
 class ItemWithoutRoute {
  public:
   ItemWithoutRoute(boost::asio::io_context& loop, LogStatus log_status)
@@ -53,7 +54,8 @@
   bool given_up_ = false;
 };
 
-// Items of a route that had been added were given up by a node that did not have it yet.
+// Guards against dead-lettering the items of a newly added route on a node whose configuration does
+// not contain the route yet.
 TEST(ItemRunTest, ItemWithoutRouteIsDeadLetteredOnlyIfTheConfigurationIsConfirmed) {
   boost::asio::io_context loop;
   ItemWithoutRoute confirmed(loop, LogStatus::kOk);
--- a/tests/jobs/item_stages_test.cc
+++ b/tests/jobs/item_stages_test.cc
@@ -42,7 +42,8 @@
   EXPECT_EQ(stages_text(summary), "reading_request=1/2.00,waiting_for_turn=1/5.00");
 }
 
-/// An item without a place is looked at anew every few seconds; it must not look young for that.
+/// An item that waits for a slot enters the stage again every few seconds; this must not reset its
+/// time in the stage.
 TEST(ItemStagesTest, TimeInStageContinuesIfTheStageIsReentered) {
   ItemStages stages;
   stages.add_job("a", 1, at_second(0));
@@ -53,7 +54,8 @@
   EXPECT_EQ(summary.of(ItemStage::kWaitingForSlot).oldest, std::chrono::seconds(9));
 }
 
-/// An item that goes to and fro between stages is in none of them for long.
+/// An item that alternates between stages is in none of them for long, so the age of its job
+/// decides first.
 TEST(ItemStagesTest, OldestItemBelongsToTheJobThatTheNodeRanForLongest) {
   ItemStages stages;
   stages.add_job("young", 1, at_second(5));
