--- a/src/jobs/job_data_log.cc
+++ b/src/jobs/job_data_log.cc
@@ -12,19 +12,21 @@
 
 namespace asio = boost::asio;
 
-/// Reads of results and requests by key under way at once, of callers and of the node's own jobs
-/// together. With as many as there were callers, none of 8 came through on 30 Mbit/s.
+/// Maximum concurrent reads of results and requests by key, for callers and the node's own jobs
+/// together. Without a limit, none of 8 concurrent reads completed in time on a 30 Mbit/s link.
 constexpr int kMaxConcurrentKeyReads = 3;
-/// Bytes asked for beyond those of the requests themselves.
+/// Bytes added to the size of a read of requests.
 constexpr std::uint64_t kReadMarginBytes = 1024;
-/// Most bytes of requests in one append, but for a larger request alone; most jobs fit.
+/// Maximum bytes of requests in one append; a larger request is appended alone. The requests of
+/// most jobs fit into one append.
 constexpr std::uint64_t kMaxRequestAppendBytes = 512UL * 1024;
-/// Bytes of a listing with the framings of its record and of its text's.
+/// Bytes of a listing, including the framing of its record and of its text record.
 constexpr std::uint64_t kListingBytes = 2 * kRecordFramingBytes;
-/// Keys deleted by one append; each takes some 80 bytes.
+/// Maximum keys deleted by one append; each takes about 80 bytes.
 constexpr std::size_t kDeletionsPerAppend = 500;
 
-/// Puts the pieces of an item's request together; nothing if one is missing or cannot be read.
+/// Reassembles an item's request from its chunks.
+/// @return nothing if a chunk is missing or the request cannot be decoded.
 std::optional<ItemRequest> assemble_request(const std::map<std::string, std::string>& chunks,
                                             const JobKey& key, const JobSubmission& submission,
                                             std::uint32_t index) {
@@ -40,7 +42,7 @@
   return decode(encoded, request) ? std::optional(std::move(request)) : std::nullopt;
 }
 
-/// The keys of the requests from one item to another.
+/// Returns the key range of the requests of the items from `first` through `last`.
 KeyRange request_key_range(const JobKey& key, const JobSubmission& submission, std::uint32_t first,
                            std::uint32_t last) {
   const std::string& writer = submission.request_writer;
@@ -72,7 +74,7 @@
   const std::uint64_t chunk_bytes = limits.record_bytes - kRecordFramingBytes;
   const std::uint64_t max_bytes = std::min(limits.call_bytes, append_size_.bytes());
   RequestAppend append;
-  // As many whole items as fit; a larger one goes alone.
+  // Add as many whole items as fit; an item above the limit is appended alone.
   for (std::size_t index = first; index < submission.items.size(); ++index) {
     const std::string request = encode(requests[index]);
     const std::uint64_t chunks = (request.size() + chunk_bytes - 1) / chunk_bytes;
@@ -161,7 +163,8 @@
     if (request) {
       result.found.emplace(index, std::move(*request));
     } else if (by_key || index == first) {
-      // Read by offset, the records of other jobs may have pushed the later ones out of the read.
+      // In a read by offset, records of other jobs may have displaced the later items, so only the
+      // first item is known to be missing.
       result.missing.push_back(index);
     }
   }
@@ -184,7 +187,7 @@
     if (result.records.status != LogStatus::kTruncated) co_return result;
   }
   const ReadTurns::Turn turn = co_await key_read_turns_.take();
-  // Pages that were read earlier tell of the end as it was then.
+  // Pages kept from an earlier read reflect the end of the log at that time.
   result.at_end = !newest.begun();
   result.records = co_await newest.run(log_, partition, unread, bounds.patience);
   count_results(result.records.records);
@@ -266,7 +269,8 @@
   if (found.status != LogStatus::kOk) co_return found.status;
   std::vector<std::string> keys;
   for (const auto& record : found.records) {
-    // A text first: no listing stays behind that has none.
+    // Delete the text before its listing, from which the text's key is derived: an interrupted
+    // deletion must not leave a text that can no longer be found.
     ResultListing listing;
     if (decode(record.value, listing)) {
       keys.push_back(text_record_key(record.key, listing.written_ms));
--- a/src/jobs/job_data_log.h
+++ b/src/jobs/job_data_log.h
@@ -1,5 +1,6 @@
 /// @file
-/// Results, progress and requests of batch jobs in the log, read so that little else comes along.
+/// Access to the results, progress and requests of batch jobs in the log, with reads that transfer
+/// little unrelated data.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -18,57 +19,58 @@
 
 namespace stoathold {
 
-/// Requests of items that one read found.
+/// Result of one read of item requests.
 struct RequestsRead {
   LogStatus status = LogStatus::kUnknown;
-  std::map<std::uint32_t, ItemRequest> found;  ///< By item. Never more than were asked for.
-  std::vector<std::uint32_t> missing;          ///< Items whose request is not where it should be.
+  std::map<std::uint32_t, ItemRequest> found;  ///< By item; only requested items.
+  std::vector<std::uint32_t> missing;          ///< Items whose request is not in the log.
 };
 
-/// Results of a job that one read found.
+/// Result of one read of the results of a job.
 struct ResultsRead {
   ReadResult records;
-  bool at_end = false;  ///< Nothing more was in the log when it was read.
+  bool at_end = false;  ///< The read reached the end of the log.
 };
 
-/// What was read of results, for metrics. Of reads by key only what was asked for.
+/// Bytes of results read, for metrics. Reads by key count only the requested range.
 struct ResultBytes {
-  std::uint64_t listings = 0;  ///< Keys and values of listings and of whole results.
-  std::uint64_t texts = 0;     ///< Keys and values of texts in records of their own.
+  std::uint64_t listings = 0;  ///< Keys and values of listings and of inline results.
+  std::uint64_t texts = 0;     ///< Keys and values of separate text records.
 };
 
-/// Reads and writes what the log holds of a job beside its submission. Keeps nothing. Used on one
-/// thread; outlives the calls in flight.
+/// Reads and writes the log records of a job other than its submission. Caches nothing. Not
+/// thread-safe; must outlive the calls in flight.
 class JobDataLog {
  public:
   JobDataLog(boost::asio::any_io_executor executor, RecordLog& log, BackoffBounds retries);
 
-  /// Returns where a job's records of a kind lie.
+  /// Returns the partition that contains a job's records of a kind.
   [[nodiscard]] PartitionName partition_of(JobData data, const JobKey& key,
                                            std::uint32_t topics) const;
 
-  /// Makes the requests of a new job's items durable, and fills in where they lie.
-  /// @param requests one for each item of the submission.
+  /// Makes the requests of a new job's items durable, and sets their log positions in the
+  /// submission.
+  /// @param requests one request per item of the submission.
   boost::asio::awaitable<LogStatus> append_requests(JobKey key, JobSubmission& submission,
                                                     const std::vector<ItemRequest>& requests,
                                                     TimePoint deadline);
-  /// Reads the requests of the first of some items, as many as fit into one read.
-  /// @param submission outlives the call.
-  /// @param wanted item indices, ascending, at least one.
+  /// Reads the requests of as many of the leading items of `wanted` as fit into one read.
+  /// @param submission must outlive the call.
+  /// @param wanted item indices, ascending, not empty.
   boost::asio::awaitable<RequestsRead> read_requests(JobKey key, const JobSubmission& submission,
                                                      std::vector<std::uint32_t> wanted,
                                                      ReadBounds bounds);
-  /// Reads the results behind those known: what was appended since they were read, or the listings
-  /// of all of the job's that may be unknown if the log has dropped that.
-  /// @param next where to go on; 0: the listings are read by key.
-  /// @param newest keeps the pages of a read of all of the job's; outlives the call.
+  /// Reads the results after those already known: the records appended since, or, if the log has
+  /// truncated that part of its history, the listings in the key range `unread`.
+  /// @param next offset to continue from; 0: read the listings by key.
+  /// @param newest keeps the pages of an incomplete read by key; must outlive the call.
   boost::asio::awaitable<ResultsRead> read_results(JobKey key, PartitionName partition,
                                                    RecordOffset next, KeyRange unread,
                                                    ReadBounds bounds, NewestRead& newest);
   /// Reads texts of results: as many as fit into one read by offset, or all of them by key if the
-  /// log has dropped the first. Texts that were read are in the result also when it failed, and
-  /// others may be.
-  /// @param wanted ascending by offset, at least one.
+  /// log has truncated the first one. A failed read also returns the texts that it got. The result
+  /// may contain texts that were not requested.
+  /// @param wanted ascending by offset, not empty.
   boost::asio::awaitable<ReadResult> read_texts(PartitionName partition,
                                                 std::vector<ListedResult::UnreadText> wanted,
                                                 ReadBounds bounds);
@@ -76,7 +78,7 @@
   /// Deletes the progress of a job's items.
   boost::asio::awaitable<LogStatus> delete_progress(JobKey key, JobSubmission submission,
                                                     TimePoint deadline);
-  /// Deletes the requests that one try to submit a job has appended.
+  /// Deletes the requests that one submission attempt appended.
   boost::asio::awaitable<LogStatus> delete_requests(JobKey key, JobSubmission submission,
                                                     TimePoint deadline);
   /// Deletes the results of a job.
@@ -84,21 +86,21 @@
                                                    TimePoint deadline);
 
  private:
-  /// Requests of items in a row that go into one append.
+  /// Requests of consecutive items that are written with one append.
   struct RequestAppend {
     std::vector<KeyedRecord> records;
-    std::vector<std::size_t> first_records;  ///< Of each item, by its place in `records`.
+    std::vector<std::size_t> first_records;  ///< Index in `records` of each item's first record.
     std::uint64_t bytes = 0;
   };
-  /// Puts an append together, and fills in the sizes of its items.
-  /// @param first the item that it begins with.
+  /// Builds the next append, and sets the sizes of its items in the submission.
+  /// @param first index of its first item.
   [[nodiscard]] RequestAppend next_append(const JobKey& key, JobSubmission& submission,
                                           const std::vector<ItemRequest>& requests,
                                           std::size_t first) const;
-  /// Items in a row whose requests are read with one call.
+  /// Items whose requests are read with one call.
   struct RequestSpan {
     std::vector<std::uint32_t> items;
-    std::uint64_t bytes = 0;  ///< From the first to the last, those between them included.
+    std::uint64_t bytes = 0;  ///< Bytes from the first to the last, including items in between.
   };
   [[nodiscard]] static RequestSpan first_span(const JobSubmission& submission,
                                               const std::vector<std::uint32_t>& wanted,
@@ -112,8 +114,7 @@
   BackoffBounds retries_;
   AppendSize append_size_;
   ResultBytes result_bytes_;
-  ReadTurns
-      key_read_turns_;  ///< Of reads of results and requests by key, whose pages have up to 1 MB.
+  ReadTurns key_read_turns_;  ///< Limits concurrent reads by key, whose pages have up to 1 MB.
 };
 
 }  // namespace stoathold
--- a/src/jobs/job_loader.cc
+++ b/src/jobs/job_loader.cc
@@ -16,9 +16,10 @@
 
 namespace asio = boost::asio;
 
-/// Reads under way at once: one waits for the log while another is on the link.
+/// Maximum concurrent reads: one waits for the log while another uses the link.
 constexpr int kMaxConcurrentReaders = 2;
-/// How far each failed read in a row puts a job off: those submitted in this time go before it.
+/// Delay in queue order per consecutive failed read: jobs submitted within this time after the
+/// failing job are read before it.
 constexpr std::int64_t kFailurePenaltyMs = 5000;
 
 }  // namespace
@@ -112,7 +113,7 @@
   std::erase_if(read.unread_items, [&](std::uint32_t item) { return found.found.contains(item); });
   for (auto& [item, request] : found.found) read.load.on_request(item, std::move(request));
   if (!read.unread_items.empty() || read.missing.empty()) co_return LogStatus::kOk;
-  // The log has accepted these: it is asked again, behind the other jobs.
+  // The log accepted these requests, so they are read again, after the other jobs.
   read.unread_items = std::exchange(read.missing, {});
   co_return LogStatus::kUnknown;
 }
--- a/src/jobs/job_loader.h
+++ b/src/jobs/job_loader.h
@@ -1,5 +1,5 @@
 /// @file
-/// Reads what the log holds of the jobs that a node takes up, a little at a time.
+/// Loads the log records of the jobs that a node starts, with few concurrent reads.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,58 +13,57 @@
 
 namespace stoathold {
 
-/// A job to read.
+/// A job to load, with the callbacks for its data.
 struct JobLoad {
   JobKey key;
-  std::int64_t submitted_ms = 0;  ///< Since the epoch; the oldest job is read first.
-  std::function<bool()>
-      still_needed;  ///< Asked before and after each read; false: the job is left out.
-  /// Called once the results and the progress are read.
+  std::int64_t submitted_ms = 0;       ///< Since the epoch; the oldest job is read first.
+  std::function<bool()> still_needed;  ///< Called around each read; false: drop the job.
+  /// Called once the results and the progress have been read.
   /// @return the items whose requests are to be read, ascending.
   std::function<std::vector<std::uint32_t>()> on_loaded;
-  /// Called with each request that was read.
+  /// Called with each item and its request.
   std::function<void(std::uint32_t, ItemRequest)> on_request;
-  /// Called with each item whose request is not where the log should hold it; it is read again.
+  /// Called with each item whose request was not found in the log; the read is retried later.
   std::function<void(std::uint32_t)> on_request_missing;
 };
 
-/// Queues jobs and reads their results, their progress and the requests of their open items, each
-/// once: what came through is kept when a later read fails. Two reads at a time over all jobs of
-/// the node: read all at once, they starve one another on a narrow link, are given up, and are sent
-/// again. Used on one thread; outlives its reads.
+/// Queues jobs and reads their results, their progress and the requests of their open items. Data
+/// that was read is kept when a later read fails, and is not read again. At most two reads are in
+/// flight over all jobs of the node: on a narrow link more concurrent reads starve each other, time
+/// out and are sent again. Not thread-safe; must outlive its reads.
 class JobLoader {
  public:
-  /// Returns whether more requests of a job may be read; false: enough of them are held here.
+  /// Returns whether more requests of a job may be read, or false if the node holds enough of them.
   using CanReadRequests = std::function<bool(const JobKey&)>;
-  /// Most requests that one read brings: what is held here goes over its bounds by no more.
+  /// Maximum number of requests per read, by which the requests held may exceed their limits.
   static constexpr std::size_t kMaxRequestsPerRead = 32;
 
-  /// @param has_room asked before requests are read.
+  /// @param can_read_requests called before requests of a job are read.
   JobLoader(boost::asio::any_io_executor executor, JobStore& store,
             CanReadRequests can_read_requests);
 
   void add(JobLoad load);
-  /// To be called when there may be room again.
+  /// Resumes reading; to be called when `can_read_requests` may allow more reads.
   void resume();
 
  private:
-  /// The next thing to read of a job.
+  /// The data of a job to be read next.
   enum class Step : std::uint8_t { kResults, kProgress, kRequests };
-  /// A job that is being read.
+  /// A queued job and the state of its reads.
   struct JobRead {
     JobLoad load;
     Step step = Step::kResults;
-    std::vector<std::uint32_t> unread_items;  ///< Whose requests are still to be read.
-    std::vector<std::uint32_t> missing;  ///< Whose requests were not found; read again at the end.
-    int failures = 0;                    ///< Since the last read that came through.
-    ReadBounds bounds;                   ///< Of the next read of progress or requests.
+    std::vector<std::uint32_t> unread_items;  ///< Items whose requests are still to be read.
+    std::vector<std::uint32_t> missing;  ///< Items whose requests were not found; retried last.
+    int failures = 0;                    ///< Consecutive failed reads.
+    ReadBounds bounds;                   ///< Bounds of the next read of progress or requests.
   };
-  /// By the time of the submission, put off by each failed read: a job that cannot be read lets
-  /// others go first, and is not passed by new ones for ever.
+  /// Ordered by submission time plus a penalty for each failed read: a job that cannot be read lets
+  /// others go first, but is not overtaken by new jobs indefinitely.
   using Queue = std::multimap<std::int64_t, JobRead>;
 
   void enqueue(JobRead read);
-  /// The first job of which something may be read now; the end if there is none.
+  /// Returns the first job with data that may be read now, or the end of the queue.
   Queue::iterator next_readable();
   boost::asio::awaitable<void> read_queue();
   boost::asio::awaitable<LogStatus> read_next(JobRead& read);
--- a/src/jobs/job_records.cc
+++ b/src/jobs/job_records.cc
@@ -15,12 +15,13 @@
 constexpr std::string_view kProgressSection = "/p/";
 constexpr std::array<std::string_view, 3> kDataTopics{"job-results", "job-progress", "job-bodies"};
 constexpr std::uint64_t kSlotSeed = 0x736c6f74;
-/// In front of all keys of jobs, which begin with a hexadecimal digit.
+/// Prefix of the keys of texts. Sorts before all other keys, which begin with a hexadecimal digit.
 constexpr char kTextKeyPrefix = '!';
-/// Begins a listing: a whole result begins with the length of its job's key.
+/// First eight bytes of a listing, which distinguish it from an inline result: that begins with the
+/// length of its job key.
 constexpr std::uint64_t kListingMagic = 0x676e697473696c21;
 
-/// A submission whose results may be split. Written as this kind only if they may.
+/// Stored format of a submission with `split_results` set; the flag is encoded only in this format.
 struct SplitResultsSubmission : JobSubmission {
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -29,7 +30,7 @@
   }
 };
 
-/// A submission whose records lie in one shared topic of each kind.
+/// Stored format of a submission without `data_topics` and `request_writer`.
 struct SharedTopicsSubmission : JobSubmission {
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -37,14 +38,15 @@
   }
 };
 
-/// Fixed width, so that keys sort by number.
+/// Formats a number with a fixed width, so that keys sort by number.
 std::string zero_padded(std::uint32_t number) {
   std::array<char, 16> text{};
   std::snprintf(text.data(), text.size(), "%06u", number);
   return text.data();
 }
 
-/// The keys of one part of a job's records: '0' is the character behind '/', which ends each part.
+/// Returns the key range of one section of a job's records. Sections end with '/', and '0' is the
+/// character after it.
 KeyRange section_key_range(const JobKey& key, std::string_view part) {
   KeyRange range;
   range.after = key + std::string(part);
@@ -141,7 +143,7 @@
 }
 
 KeyRange job_key_range(const JobKey& key) {
-  return {key + "/", key + "0"};  // '0' is the character behind '/'.
+  return {key + "/", key + "0"};  // '0' is the character after '/'.
 }
 
 KeyRange result_key_range(const JobKey& key, std::uint32_t first_item) {
--- a/src/jobs/job_records.h
+++ b/src/jobs/job_records.h
@@ -1,21 +1,23 @@
 /// @file
-/// Records of batch jobs in the durable log, and the keys under which they lie.
+/// Records of batch jobs in the durable log, and their keys.
 ///
-/// Keyed records in partitions of topics:
-/// - jobs, by the hash of the host: submissions, ends, finished marks, progress counts. A
-///   submission is appended on the condition that the partition ends where its writer has read to,
-///   so that every submission is judged against all before it.
-/// - results, by the hash of the job: results of items. The order of the records is the order of
-///   the results; of an item's results the first counts. A long text lies in a record of its own,
-///   in front of the listing that names it: who needs the order reads the listings alone.
-/// - progress, by the hash of the job: how far running items came, so that another node goes on
-///   there.
-/// - bodies, by the hash of the job: the requests that the items are.
-/// A key is written once (but for progress), so that the offsets of results never change.
+/// The records are keyed and stored in partitions of these topics:
+/// - jobs, partitioned by the hash of the host: submissions, cancellations, finished marks and
+///   progress counts. A submission is a conditional append: it succeeds only if the partition ends
+///   at the offset that its writer has read to, so that each submission is checked against all
+///   earlier ones.
+/// - job-results, partitioned by the hash of the job: results of items. The order of the records is
+///   the order of the results; the first result of an item counts. A long text has a separate
+///   record, directly before the listing that refers to it, so that the order can be read from the
+///   listings alone.
+/// - job-progress, partitioned by the hash of the job: progress of running items, from which
+///   another node can resume them.
+/// - job-bodies, partitioned by the hash of the job: the requests of the items.
+/// Each key except those of progress is written once, so that the offsets of results never change.
 ///
-/// The log answers the newest records of keys in pages, and a page holds whatever lies behind the
-/// first key. So results, progress and bodies are spread over so many partitions that few live jobs
-/// share one: what is read for a job is about what the job has.
+/// The log returns the newest records of keys in pages, and a page contains whatever records follow
+/// its first key. Results, progress and requests are therefore spread over so many partitions that
+/// few live jobs share one, and a read for a job returns little beyond the data of that job.
 #pragma once
 
 #include <cstdint>
@@ -31,32 +33,33 @@
 
 inline constexpr const char* kJobsTopic = "jobs";
 
-/// Identity of a job in the log: made of host and id, unique over all hosts.
+/// Identifier of a job in the log, derived from host and id; unique over all hosts.
 using JobKey = std::string;
 
-/// Longest job id that fits into a record's key.
+/// Maximum length of a job id that fits into a record key.
 inline constexpr std::size_t kMaxJobIdBytes = 128;
 
 JobKey make_job_key(std::string_view host, std::string_view id);
-/// Partition of the jobs topic.
+/// Returns the partition of the jobs topic for the jobs of a host.
 std::uint32_t jobs_partition(std::string_view host, std::uint32_t partitions);
-/// What the log holds of a job beside its record of the jobs topic.
+/// Kinds of job data that are stored outside the jobs topic.
 enum class JobData : std::uint8_t { kResults, kProgress, kRequests };
 
-/// Returns the partition of a job's results, progress or bodies.
-/// @param topics over which the job's records of a kind are spread (`JobSubmission::data_topics`).
-/// @param partitions of each topic.
+/// Returns the partition of a job's results, progress or requests.
+/// @param topics number of topics over which the records of a kind are spread
+/// (`JobSubmission::data_topics`).
+/// @param partitions number of partitions of each topic.
 PartitionName job_data_partition(JobData data, const JobKey& key, std::uint32_t topics,
                                  std::uint32_t partitions);
-/// Slot of the workers' group that runs the job.
+/// Returns the slot of the worker group that the job belongs to; the owner of the slot runs it.
 std::uint32_t job_slot(const JobKey& key, std::uint32_t slots);
 
-/// One item as a submission lists it.
+/// One item of a submission.
 struct JobItem {
   std::string id;
-  std::uint64_t tokens = 0;         ///< Prompt and most output.
-  RecordOffset request_offset = 0;  ///< Of the first record of its request.
-  std::uint64_t request_bytes = 0;  ///< Of all records of its request.
+  std::uint64_t tokens = 0;         ///< Prompt tokens plus maximum output tokens.
+  RecordOffset request_offset = 0;  ///< Offset of the first record of its request.
+  std::uint64_t request_bytes = 0;  ///< Total bytes of the records of its request.
   std::uint32_t request_records = 1;
 
   template <typename Archive>
@@ -65,25 +68,25 @@
   }
 };
 
-/// A job that was accepted.
+/// An accepted job, as stored in the jobs topic.
 struct JobSubmission {
   std::string id;
   std::string host;
-  std::string path;  ///< It was submitted to.
+  std::string path;  ///< Path that it was submitted to.
   std::string route;
-  std::string tenant;             ///< Whose job it is; empty: anonymous.
+  std::string tenant;             ///< Tenant that owns the job; empty: anonymous.
   std::int64_t submitted_ms = 0;  ///< Wall clock of the accepting node, since the epoch.
   std::vector<JobItem> items;
-  /// Topics over which its results, progress and bodies are spread. 0: one shared topic of each
-  /// kind, as in records that were written before jobs were spread.
+  /// Number of topics over which its results, progress and requests are spread. 0: one topic of
+  /// each kind, as in records of the old format, which lack this field.
   std::uint32_t data_topics = 0;
-  /// Part of the keys of its items' requests, another for each try to submit the job: so what a
-  /// refused try has left can be deleted, though the job was accepted from another one. Empty in
-  /// records that were written before.
+  /// Part of the keys of its requests; unique for each submission attempt, so that the requests
+  /// left by a refused attempt can be deleted even if another attempt for the job was accepted.
+  /// Empty in records of the old format.
   std::string request_writer;
-  /// Whether texts of results may lie in records of their own. Not in submissions that were written
-  /// before: nodes of that time may run the job, and know whole results only. They pass over a
-  /// submission that says so.
+  /// Whether result texts may be stored in separate records. False in submissions written by nodes
+  /// of an older version, which support only inline results and may run the job. Such nodes skip a
+  /// submission in which this is set.
   bool split_results = false;
 
   [[nodiscard]] std::uint64_t tokens() const;
@@ -94,7 +97,7 @@
   }
 };
 
-/// The request that an item is.
+/// The request of an item.
 struct ItemRequest {
   std::string path;
   std::vector<std::pair<std::string, std::string>> headers;
@@ -106,7 +109,7 @@
   }
 };
 
-/// How an item ended.
+/// Final state of an item.
 enum class ItemState : std::uint8_t { kCompleted, kDeadLettered };
 
 /// The result of an item.
@@ -122,17 +125,17 @@
   }
 };
 
-/// Longest text that lies with its result in one record. A listing and the key of a text take about
-/// as many bytes.
+/// Maximum length of a text that is stored inline in its result record. A listing and the key of a
+/// separate text record take about as many bytes.
 inline constexpr std::size_t kMostWholeTextBytes = 256;
 
-/// A result whose text lies in a record of its own, in front of this one.
+/// A result whose text is stored in a separate record, directly before this one.
 struct ResultListing {
   std::uint32_t item = 0;  ///< Index in the submission.
   ItemState state = ItemState::kCompleted;
   std::uint64_t text_bytes = 0;
-  std::int64_t written_ms =
-      0;  ///< Wall clock of the writer, since the epoch: part of the text's key.
+  /// Wall clock of the writer, since the epoch; part of the key of the text.
+  std::int64_t written_ms = 0;
 
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -140,13 +143,13 @@
   }
 };
 
-/// How far an item's run came before it was given back.
+/// Progress of an item, from which its run can be resumed.
 struct ItemProgress {
   JobKey job;
   std::uint32_t item = 0;
-  std::uint32_t failures = 0;    ///< Runs that ended with the runner's own error.
-  std::uint64_t last_event = 0;  ///< 0: nothing yet.
-  std::string text;              ///< Of the events up to it.
+  std::uint32_t failures = 0;    ///< Attempts that ended with an error of the runner.
+  std::uint64_t last_event = 0;  ///< Id of the last event received; 0: none yet.
+  std::string text;              ///< Text of the events through `last_event`.
 
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -154,37 +157,38 @@
   }
 };
 
-/// What a record of the jobs topic says.
+/// Kinds of records in the jobs topic.
 enum class JobRecordKind : std::uint8_t { kSubmitted, kCancelled, kFinished, kProgress };
 
-/// Key of a record of the jobs topic.
+/// Returns the key of a record of the jobs topic.
 std::string jobs_record_key(JobRecordKind kind, const JobKey& key);
-/// Parses such a key; nothing if it is not one.
+/// Parses a key of the jobs topic; returns nothing if it is malformed.
 std::optional<std::pair<JobRecordKind, JobKey>> parse_jobs_record_key(std::string_view key);
 
-/// Key of a result, whole or listed; `writer` makes it unique.
+/// Returns the key of an inline result or of a listing; `writer` makes it unique.
 std::string result_record_key(const JobKey& key, std::uint32_t item, std::string_view writer);
-/// Key of the text of a listed result. The texts of all jobs lie in front of all listings, so that
-/// what is read for listings holds none; those of a job lie about in the order of their writing.
+/// Returns the key of the text of a listed result. The texts of all jobs sort before all listings,
+/// so that pages read for listings contain no texts. The texts of a job sort approximately by time
+/// of writing.
 /// @param listing_key key of its listing.
 std::string text_record_key(std::string_view listing_key, std::int64_t written_ms);
-/// Whether a key of the results is that of a text.
+/// Returns whether a key of the results topics is that of a text.
 bool is_text_record_key(std::string_view key);
-/// Returns the records of a result, to be appended together.
-/// @param split whether a long text may lie in a record of its own.
+/// Returns the records of a result, to be written with one append.
+/// @param split whether a long text may be stored in a separate record.
 std::vector<KeyedRecord> result_records(const ItemResult& result, std::string_view writer,
                                         std::int64_t now_ms, bool split);
-/// Key of an item's progress.
+/// Returns the key of an item's progress.
 std::string progress_record_key(const JobKey& key, std::uint32_t item);
-/// The job that a key of the results, the progress or the bodies belongs to.
+/// Returns the job that a key of the results, progress or requests topics belongs to.
 JobKey job_of_record_key(std::string_view key);
-/// Key of one record of an item's request.
+/// Returns the key of one record of an item's request.
 /// @param writer `JobSubmission::request_writer`.
 std::string request_record_key(const JobKey& key, std::string_view writer, std::uint32_t item,
                                std::uint32_t record);
-/// The range of all of a job's keys in one of these topics.
+/// Returns the range of all keys of a job in one of these topics, except keys of texts.
 KeyRange job_key_range(const JobKey& key);
-/// Returns the range of the keys of a job's results, from an item on.
+/// Returns the range of the keys of a job's results, starting at an item.
 KeyRange result_key_range(const JobKey& key, std::uint32_t first_item);
 /// Returns the range of the keys of a job's progress.
 KeyRange progress_key_range(const JobKey& key);
@@ -195,7 +199,7 @@
 std::string encode(const ResultListing& listing);
 std::string encode(const ItemProgress& progress);
 std::string encode_tokens(std::uint64_t tokens);
-/// Decoders return false if the bytes are malformed.
+/// The decoders return false if the bytes are malformed.
 bool decode(const std::string& bytes, JobSubmission& submission);
 bool decode(const std::string& bytes, ItemRequest& request);
 bool decode(const std::string& bytes, ItemResult& result);
--- a/src/jobs/job_store.cc
+++ b/src/jobs/job_store.cc
@@ -15,10 +15,10 @@
 
 namespace asio = boost::asio;
 
-/// Between two reads of the jobs that bring something: a job may begin this much later.
+/// Minimum interval between two reads that return jobs; delays the start of a job by up to as much.
 constexpr Duration kFollowInterval = std::chrono::milliseconds(250);
-/// Between two reads of the jobs by a node that runs none: only erased jobs are to be forgotten,
-/// and they live for many times as long.
+/// Interval between two reads of the jobs by a node that runs none. It only has to drop erased
+/// jobs, whose lifetime is many times as long.
 constexpr Duration kIdlePollInterval = std::chrono::seconds(10);
 
 }  // namespace
@@ -48,7 +48,7 @@
       data_(executor_, log, timing.retries) {}
 
 std::string JobStore::unique_name() {
-  // Fixed width, so that texts that are written together lie in the order of their writing.
+  // Fixed width, so that texts written in the same millisecond sort in the order of writing.
   constexpr std::size_t kDigits = 7;
   const std::string number = std::to_string(next_unique_++);
   const std::size_t zeros = kDigits - std::min(kDigits, number.size());
@@ -115,7 +115,7 @@
   JobsPartition& partition = partition_for_host(host);
   if (partition.followed) return;
   partition.followed = true;
-  // A caller's read may have loaded jobs before; the replica will not deliver them again.
+  // A caller's read may have loaded the partition already; the replica does not report it again.
   if (partition.replica->health().loaded) notify_open_jobs(partition);
   asio::co_spawn(executor_, follow_partition(partition), asio::detached);
 }
@@ -127,8 +127,8 @@
   }
 }
 
-/// Of a large fleet's nodes few run jobs; were all to follow them, most of the calls to the log
-/// would be theirs.
+/// Follows the partition closely only while this node runs jobs. In a large fleet few nodes do; if
+/// all of them followed it, they would make most of the calls to the log.
 asio::awaitable<void> JobStore::follow_partition(JobsPartition& partition) {
   partition.idle_timer = std::make_unique<Timer>(executor_);
   const std::function<bool()> running = [this] { return running_jobs_; };
@@ -167,7 +167,7 @@
   }
   const auto replica = partition.replica;
   Backoff backoff(timing_.retries);
-  bool uncertain = false;  // An append without an answer may still be done.
+  bool uncertain = false;  // An append without an answer may still be applied.
   while (true) {
     if (partition.table->find(key) != nullptr) co_return SubmitStatus::kAccepted;
     if (!uncertain && !fits_token_quota(*partition.table, job)) co_return SubmitStatus::kQuota;
@@ -183,7 +183,8 @@
     if (result.status != LogStatus::kConflict) co_await sleep_for(backoff.next());
     const LogStatus read = co_await replica->catch_up();
     if (read != LogStatus::kOk) co_await sleep_for(backoff.next());
-    // Behind the expected end, a late append's condition can no longer hold: its fate is known.
+    // Once the partition extends past the expected end, the condition of a delayed append can no
+    // longer hold, so its outcome is known.
     if (read == LogStatus::kOk && replica->next_offset() > expected) uncertain = false;
     if (monotonic_now() >= deadline) break;
   }
--- a/src/jobs/job_store_memory.cc
+++ b/src/jobs/job_store_memory.cc
@@ -1,4 +1,4 @@
-// What a job store keeps in memory of the log, and when it lets go of it.
+// Memory accounting and eviction of the results cached by a job store.
 #include "jobs/job_store.h"
 
 namespace stoathold {
@@ -15,8 +15,8 @@
   result_memory_.resize(bytes);
 }
 
-/// A read that is under way holds its `ResultReads`, and goes on from what is listed: its job
-/// stays.
+/// Skips jobs with a read in flight: the read shares ownership of its `ResultReads` and continues
+/// from the results already listed.
 void JobStore::drop_finished_results() {
   if (budget_ == nullptr) return;
   update_result_memory();
--- a/src/jobs/job_store_results.cc
+++ b/src/jobs/job_store_results.cc
@@ -1,4 +1,4 @@
-// How a job store reads results: the list of a job's results first, then the texts asked for.
+// Reads of results by a job store: first the list of a job's results, then the requested texts.
 #include <algorithm>
 #include <boost/asio/use_awaitable.hpp>
 #include <utility>
@@ -10,7 +10,7 @@
 
 namespace asio = boost::asio;
 
-/// Longest time that a read waits before it looks once more for a result.
+/// Maximum time that a read waits before it checks once more for a new result.
 constexpr Duration kResultWait = std::chrono::milliseconds(700);
 
 }  // namespace
@@ -57,7 +57,8 @@
 
 asio::awaitable<LogStatus> JobStore::refresh_to_position(JobKey key, std::uint64_t position,
                                                          TimePoint deadline) {
-  // Polls reach any node: most find one that is behind the caller, who has the texts in between.
+  // Polls reach any node, and most nodes are behind the caller, who already has the texts in
+  // between. Read by offset, with texts, only if this node continues exactly at the position.
   const ListedResults& known = results_[key];
   const bool is_next_position = known.next_offset() > 0 && known.listed().size() == position;
   const ResultReadMode mode = is_next_position ? ResultReadMode::kOffset : ResultReadMode::kKey;
@@ -71,7 +72,7 @@
 asio::awaitable<LogStatus> JobStore::refresh_results(JobKey key, TimePoint deadline,
                                                      ResultReadMode mode) {
   const std::shared_ptr<ResultReads> reads = result_reads_for(key);
-  // Callers may ask in either way: both bring the list up to date.
+  // Callers with different modes may share a read: both modes update the list.
   const SharedRead::Read read = [this, key, reads, mode] {
     return read_new_results(key, reads, mode);
   };
@@ -93,7 +94,7 @@
     results_[key].add(std::move(read.records));
     update_result_memory();
     if (read.at_end) co_return status;
-    // What was added while pages were read, maybe some reads ago.
+    // Then read what was appended while the pages were read, possibly during earlier reads.
     mode = ResultReadMode::kOffset;
   }
 }
@@ -123,7 +124,7 @@
   results_[key].add_texts(std::move(read.records));
   update_result_memory();
   if (status != LogStatus::kOk) co_return status;
-  // A text that is not where its listing says: nothing is answered in its place.
+  // A text that is missing at its listed location is an error and never returned as empty.
   const auto missing = results_[key].unread_texts(position, kResultPageBytes);
   const bool first_text_read = missing.empty() || missing.front().key != first_key;
   co_return first_text_read ? LogStatus::kOk : LogStatus::kUnknown;
--- a/src/jobs/listed_results.cc
+++ b/src/jobs/listed_results.cc
@@ -21,7 +21,8 @@
 }
 
 void ListedResults::add(ReadResult read) {
-  // The pages of a read are no snapshot: only what lies in front of its end is known to be whole.
+  // The pages of a read are not a snapshot: only the records before its end offset are known to be
+  // complete.
   std::erase_if(read.records, [&](const StoredRecord& record) {
     return record.offset >= read.end || record.offset < read_through_;
   });
@@ -65,7 +66,7 @@
     return;
   }
   bytes_ += text_key.size();
-  // Both were appended together, the text first.
+  // The text and its listing were appended together, the text first.
   const RecordOffset text_offset = record.offset > 0 ? record.offset - 1 : 0;
   listed.unread_text = {std::move(text_key), text_offset, listing.text_bytes};
 }
@@ -104,7 +105,7 @@
       continue;
     }
     ItemProgress& known = progress[item.item];
-    // A record that was written late may lie behind what is known.
+    // A record that was written late may hold less progress than is already known.
     if (item.last_event < known.last_event && item.failures <= known.failures) continue;
     known = std::move(item);
   }
--- a/src/jobs/result_writer.cc
+++ b/src/jobs/result_writer.cc
@@ -15,11 +15,11 @@
 
 namespace asio = boost::asio;
 
-/// Most bytes of one append.
+/// Maximum bytes of one append.
 constexpr std::uint64_t kMaxAppendBytes = 256UL * 1024;
-/// Appends under way at once: 1 MB in all, which 30 Mbit/s carry in 0.3 s.
+/// Maximum concurrent appends: 1 MB in total, which takes 0.3 s on a 30 Mbit/s link.
 constexpr int kMaxConcurrentWriters = 4;
-/// Bytes of a record that are not the text.
+/// Upper estimate of the bytes of a result's records without the text.
 constexpr std::uint64_t kRecordOverheadBytes = 600;
 
 std::uint64_t estimated_bytes(const ItemResult& result) {
