--- a/tests/jobs/append_results.h
+++ b/tests/jobs/append_results.h
@@ -1,5 +1,5 @@
 /// @file
-/// Writing results in tests as nodes do: again and again until they are durable.
+/// Test helper that writes results as nodes do, with retries until they are durable.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -10,9 +10,9 @@
 
 namespace stoathold {
 
-/// Appends results of a job; tries until it is done or `running` ends.
-/// @param make called for each try, since a result needs a new key each time.
-/// @return whether it was done.
+/// Appends results of a job; retries until the append succeeds or `running` returns false.
+/// @param make returns the records; called for each attempt, since each needs new keys.
+/// @return whether an append succeeded.
 inline boost::asio::awaitable<bool> append_results(
     JobStore& store, JobKey job, std::function<std::vector<KeyedRecord>()> make,
     std::function<bool()> running = [] { return true; }) {
--- a/tests/jobs/faulty_record_log.h
+++ b/tests/jobs/faulty_record_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// A record log for tests: the emulator's model in this process, with faults switched on by tests.
+/// A record log for tests that wraps the emulator's in-process log model and injects faults.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -15,18 +15,18 @@
 
 namespace stoathold {
 
-/// Faults of the next calls. Counts go down as they are used.
+/// Faults injected into the following calls. Each affected call decrements its count.
 struct LogFaults {
-  bool down = false;         ///< Every call is refused; nothing is done.
-  bool allow_reads = false;  ///< Reads are answered even so.
-  int lose_answers = 0;      ///< Appends are done, but the answer is lost.
-  int drop_appends = 0;      ///< Appends are not done, and there is no answer.
-  int delayed_appends = 0;   ///< No answer; done when `apply_late` is called.
-  std::string topic;         ///< Appends to other topics are spared; empty: none are.
-  std::function<void()> after_delayed_append;  ///< Called after an append was kept back.
+  bool down = false;         ///< Every call is refused and has no effect.
+  bool allow_reads = false;  ///< Reads by offset succeed even while `down`.
+  int lose_answers = 0;      ///< Appends are applied, but the answer is lost.
+  int drop_appends = 0;      ///< Appends are not applied and get no answer.
+  int delayed_appends = 0;   ///< Appends get no answer and wait for `apply_delayed`.
+  std::string topic;         ///< Only appends to this topic fail; empty: to any topic.
+  std::function<void()> after_delayed_append;  ///< Called after an append was delayed.
 };
 
-/// Times under which retries take no time worth mentioning.
+/// Timeouts and backoff short enough that retries take negligible time.
 inline JobStoreTiming quick_timing() {
   JobStoreTiming timing;
   timing.operation_timeout = std::chrono::milliseconds(20);
@@ -34,7 +34,7 @@
   return timing;
 }
 
-/// Sizes that make small jobs of many records, and few slots.
+/// Limits under which small jobs have many records, with few slots.
 inline LogLimits small_limits() {
   LogLimits limits;
   limits.record_bytes = 2000;
@@ -44,26 +44,25 @@
   return limits;
 }
 
-/// One node's way to a log that several share. Calls complete at once, but a read that may wait for
-/// records and finds none waits for all of its time.
+/// One node's connection to a shared log. Calls complete immediately, except that a read that may
+/// wait for records and finds none waits for its full timeout.
 class FaultyRecordLog final : public RecordLog {
  public:
   FaultyRecordLog(std::shared_ptr<emulator::LogModel> model, LogLimits limits)
       : model_(std::move(model)), limits_(limits) {}
 
   LogFaults faults;
-  /// Appends that were answered as done, for tests that count.
+  /// Number of appends that were applied.
   int appends = 0;
-  /// Slots that a member of a group holds; none: the group cannot be joined.
+  /// Slots assigned to each member of a group; empty: the group cannot be joined.
   std::vector<std::uint32_t> held_slots;
-  /// How long a read of the newest records takes, and the most such reads that were under way at
-  /// once.
+  /// Duration of a read of the newest records, and the highest number of concurrent such reads.
   Duration newest_read_time{0};
   int max_concurrent_newest_reads = 0;
-  /// Records that reads answered.
+  /// Number of records returned by reads.
   std::size_t records_read = 0;
 
-  /// Does the appends that were kept back, if their conditions still hold.
+  /// Applies the delayed appends whose conditions still hold.
   void apply_delayed() {
     const auto kept = std::exchange(delayed_, {});
     for (const auto& append : kept) append();
--- a/tests/jobs/fleet_reads_test.cc
+++ b/tests/jobs/fleet_reads_test.cc
@@ -3,12 +3,13 @@
 namespace stoathold {
 namespace {
 
-/// What all nodes together read of one job.
+/// Bytes that all nodes together read of one job.
 class FleetReadsTest : public JobReadsFixture {};
 
-/// A caller's polls reach any node, and what a node has read serves only those that reach it again:
-/// of 28 nodes in the second region most are asked for a job once, and read all of its results from
-/// the first one on. Here 20 polls of a job with 240 kB, each at another node, bring 2.5 MB.
+/// Each poll of a caller may reach another node, and a node's cache serves only polls that reach
+/// the same node again. Guards against nodes that read all results of a job from the first one on
+/// for a single poll: 20 polls of a job with 240 kB, each at another node, read 2.5 MB in that
+/// case.
 TEST_F(FleetReadsTest, PollsSpreadOverNodesReadEachResultAFewTimes) {
   constexpr std::uint32_t kItems = 20;
   JobNode& worker = add_node("worker");
--- a/tests/jobs/job_memory_test.cc
+++ b/tests/jobs/job_memory_test.cc
@@ -1,4 +1,4 @@
-// Jobs at a node whose memory is short: reads wait, caches are dropped, nothing accepted is lost.
+// Jobs at a node with little free memory: reads wait, caches are dropped, no accepted job is lost.
 #include "tests/jobs/job_reads_fixture.h"
 
 namespace stoathold {
@@ -6,7 +6,7 @@
 
 class JobMemoryTest : public JobReadsFixture {
  protected:
-  /// Runs the loop until so many jobs are finished.
+  /// Runs the loop until the node knows of `jobs` finished jobs; fails after 40 s.
   void run_until_finished(JobNode& node, std::size_t jobs) {
     const TimePoint end = monotonic_now() + std::chrono::seconds(40);
     loop.restart();
@@ -17,7 +17,7 @@
   }
 };
 
-// The rest of the process holds all that there is: one request at a time is read all the same.
+// Requests are read, a few at a time, even if the rest of the process uses the whole budget.
 TEST_F(JobMemoryTest, JobsMakeProgressWithoutFreeMemory) {
   JobNode& node = add_node("node");
   MemoryBudget& memory = *node.context.memory;
@@ -30,14 +30,14 @@
   run_until_finished(node, kJobs);
   EXPECT_EQ(memory.used(MemoryAccount::kJobRequests), 0U);
   EXPECT_EQ(memory.used(MemoryAccount::kJobResults), 0U);
-  // Two reads are under way at a time, and each brings the requests of one job, counted twice, with
-  // their paths.
+  // At most two reads are in flight. Each returns the requests of one job, which are charged twice
+  // and include their paths.
   constexpr double kPaths = 1.1;
   EXPECT_LE(static_cast<double>(memory.peak(MemoryAccount::kJobRequests)),
             kPaths * 2 * 2 * kRequestsBytes);
 }
 
-// What is dropped is read again, with each result at its position.
+// Dropped results are read again on demand, and each has the same position as before.
 TEST_F(JobMemoryTest, ResultsOfFinishedJobsAreDroppedAndReadAgain) {
   JobNode& node = add_node("node");
   MemoryBudget& memory = *node.context.memory;
@@ -63,7 +63,7 @@
   EXPECT_EQ(positions_again, positions);
 }
 
-// A job that is not finished is needed as it is: positions are told to its readers.
+// Results of an open job must stay in memory: callers have already been given their positions.
 TEST_F(JobMemoryTest, ResultsOfOpenJobsAreKept) {
   JobNode& node = add_node("node");
   submit(node, make_job(1));
--- a/tests/jobs/job_model_test.cc
+++ b/tests/jobs/job_model_test.cc
@@ -1,5 +1,5 @@
-/// Stateful fuzzing of batch jobs in the log: several nodes, each with its own faulty way to one
-/// log, against an oracle that only remembers what nodes have promised.
+/// Stateful fuzzing of batch jobs in the log: several nodes access one log through connections with
+/// injected faults, and an oracle checks later answers against those that nodes gave earlier.
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
 
@@ -24,7 +24,7 @@
 constexpr std::uint64_t kQueueLimit = 700;  // Two jobs of the four.
 constexpr const char* kHost = "drafts.example";
 
-/// Length to which the texts of results are filled up; so long ones lie in records of their own.
+/// Minimum length of the texts of results; long texts are stored in separate records.
 std::size_t result_bytes() {
   const char* bytes = std::getenv("STOATHOLD_RESULT_BYTES");
   return bytes == nullptr ? 0 : std::strtoul(bytes, nullptr, 10);
@@ -46,7 +46,7 @@
   return make_job_key(kHost, job_id(job));
 }
 
-/// What the callers were told.
+/// Answers that callers have received.
 struct Oracle {
   std::set<int> accepted;
   std::set<int> uncertain;                               ///< May have been accepted.
@@ -55,7 +55,7 @@
   std::set<int> cancelled;
 };
 
-/// Over all runs, so that a check that tests nothing is noticed.
+/// Counts over all runs, to detect runs that exercise nothing.
 struct Totals {
   std::uint64_t commands = 0;
   std::uint64_t accepted = 0;
@@ -67,7 +67,7 @@
   return counts;
 }
 
-/// The nodes. A crash replaces a node's store, which keeps nothing.
+/// The nodes. A crash replaces the store of a node by an empty one.
 struct Fleet {
   Fleet() : model(std::make_shared<emulator::LogModel>()) {
     for (int node = 0; node < kNodes; ++node) {
@@ -115,7 +115,8 @@
   return made;
 }
 
-// The oracle needs what the system answered, so commands share this record of the run.
+// Answers received in the current run; commands share them because the model state of the framework
+// does not contain what the system answered.
 Oracle& observed_answers() {
   static Oracle oracle;
   return oracle;
@@ -174,11 +175,11 @@
     if (done) oracle.finished.insert({job, item});
   }
   void show(std::ostream& os) const override {
-    os << "finish item " << item << " of " << job << " at " << node;
+    os << "write result of item " << item << " of " << job << " at " << node;
   }
 };
 
-/// What a caller was told at a position, without the item.
+/// Returns the text that a caller has read at a position, without the item index.
 std::string result_text_seen(const std::vector<std::string>& results_seen, std::size_t position) {
   return results_seen[position].substr(results_seen[position].find('=') + 1);
 }
@@ -204,7 +205,7 @@
     std::vector<std::string> texts;
     std::set<std::uint32_t> items;
     for (const auto& result : page.results->listed()) {
-      // No read fails here, so only texts in front of the position may not have been read.
+      // No read fails here, so only texts before the position may be missing.
       const bool asked_for = texts.size() >= position;
       RC_ASSERT(result.has_text() || (!asked_for && result_bytes() > 0));
       const std::string text =
@@ -240,7 +241,7 @@
       RC_ASSERT(request.body == job_id(job) + ":" + std::to_string(i));
     }
   }
-  void show(std::ostream& os) const override { os << "bodies of " << job << " at " << node; }
+  void show(std::ostream& os) const override { os << "read requests of " << job << " at " << node; }
 };
 
 struct Crash : Command {
@@ -265,8 +266,8 @@
     if (kind == 4) fleet.model->drop_history();
   }
   void show(std::ostream& os) const override {
-    constexpr std::array<const char*, 5> kNames{"lose answers", "drop appends", "keep appends back",
-                                                "apply late", "drop history"};
+    constexpr std::array<const char*, 5> kNames{"lose answers", "drop appends", "delay appends",
+                                                "apply delayed appends", "drop history"};
     os << kNames[kind] << " of " << node << " x" << count;
   }
 };
--- a/tests/jobs/job_reads_fixture.h
+++ b/tests/jobs/job_reads_fixture.h
@@ -1,5 +1,5 @@
 /// @file
-/// Nodes on one log that counts what they read, with jobs of the sizes that are usual.
+/// Test fixture: nodes on one log that counts their reads, with jobs of typical sizes.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,14 +16,14 @@
 namespace stoathold {
 
 inline constexpr const char* kHost = "drafts.example";
-/// Means of the requests and the results of items, and of the items of a job.
+/// Mean sizes of the requests and results of items, and the mean number of items of a job.
 inline constexpr std::uint64_t kRequestBytes = 15'000;
 inline constexpr std::uint64_t kResultBytes = 12'000;
 inline constexpr std::size_t kJobItems = 10;
 inline constexpr std::uint64_t kRequestsBytes = kJobItems * kRequestBytes;
 inline constexpr std::uint64_t kResultsBytes = kJobItems * kResultBytes;
 
-/// A job's id; ids sort by number, so that their keys do.
+/// Returns the id of a job. The ids, and therefore the keys, sort by number.
 inline std::string job_id(std::size_t number) {
   std::string digits = std::to_string(number);
   return "j" + std::string(4 - digits.size(), '0') + digits;
@@ -49,7 +49,7 @@
   return job;
 }
 
-/// One node: its way to the log, its store and its runner of jobs.
+/// One node: its log connection, job store and job runner.
 struct JobNode {
   JobNode(boost::asio::io_context& loop, const std::shared_ptr<emulator::LogModel>& model,
           const std::string& name)
@@ -70,13 +70,13 @@
     context.configuration = std::make_shared<const ServingConfiguration>(configuration);
   }
 
-  /// The node takes up all jobs and runs them at this runner, which has room for all items.
+  /// Starts all jobs on this node and runs them on one runner, which has slots for all items.
   void run_jobs(const ScriptedRunner& scripted) {
     constexpr std::uint32_t kSlots = 1000;
     context.runners.upsert({"r", "chat", scripted.address(), "zone", kSlots, false});
     store.follow_host(kHost);
     runner.start();
-    // The time in which a process that has just started lets few items run is over.
+    // Skip the slow start, during which few items may run.
     suspend_machine(std::chrono::seconds(5));
   }
   [[nodiscard]] std::size_t finished_jobs() const {
@@ -91,26 +91,26 @@
   JobRunner runner;
 };
 
-/// The answer of a runner that does an item: a result of the mean size.
+/// Returns a runner's answer that completes an item with a result of mean size.
 inline ScriptedAnswer result_answer() {
   return plain_answer("id: 1\ndata: " + std::string(kResultBytes, 'r') + "\n\n");
 }
-/// The answer of a runner that can never do the item: it is dead-lettered.
+/// Returns a runner's answer that rejects an item permanently, so that it is dead-lettered.
 inline ScriptedAnswer impossible_answer() {
   return plain_answer("", "{id}", "422 Unprocessable Entity");
 }
 
-/// Nodes on one log whose history can be forgotten.
+/// Nodes on one log whose history can be truncated.
 class JobReadsFixture : public testing::Test {
  protected:
   JobReadsFixture() : model(std::make_shared<emulator::LogModel>()) {}
 
-  /// Adds a node; it lives as long as the test.
+  /// Adds a node that lives as long as the test.
   JobNode& add_node(const std::string& name) {
     nodes_.push_back(std::make_unique<JobNode>(loop, model, name));
     return *nodes_.back();
   }
-  /// Adds a runner that gives all requests this answer; it lives as long as the test.
+  /// Adds a runner that gives every request this answer and lives as long as the test.
   ScriptedRunner& add_runner(const ScriptedAnswer& answer) {
     runners_.push_back(std::make_unique<ScriptedRunner>(loop, std::vector{answer}));
     return *runners_.back();
@@ -118,7 +118,7 @@
   void submit(JobNode& node, NewJob job) {
     EXPECT_EQ(run_awaitable(loop, node.store.submit(std::move(job))), SubmitStatus::kAccepted);
   }
-  /// Writes results of one job's items, in this order.
+  /// Writes results for items of one job, in the given order.
   void write_results(JobNode& node, std::size_t job, const std::vector<std::uint32_t>& items) {
     std::size_t written = 0;
     ResultWriter writer(loop.get_executor(), node.store, [&](const ItemResult&) { ++written; });
@@ -136,19 +136,19 @@
     while (!holds() && loop.run_one() > 0) {
     }
   }
-  /// Runs a coroutine without a value to its end.
+  /// Runs a coroutine to completion.
   void run(boost::asio::awaitable<void> task) {
     bool done = false;
     boost::asio::co_spawn(loop, std::move(task), [&](std::exception_ptr) { done = true; });
     run_until([&] { return done; });
   }
-  /// Runs all that can run without time and without a peer.
+  /// Runs all handlers that are ready.
   void settle() {
     loop.restart();
     while (loop.poll() > 0) {
     }
   }
-  /// Bytes of the partitions that list the jobs.
+  /// Returns the bytes of the newest records in the partitions of the jobs topic.
   [[nodiscard]] std::uint64_t listing_bytes() const {
     std::uint64_t bytes = 0;
     for (std::uint32_t number = 0; number < store_limits().partitions; ++number) {
--- a/tests/jobs/job_store_test.cc
+++ b/tests/jobs/job_store_test.cc
@@ -61,7 +61,7 @@
   std::vector<std::string> read_texts(JobStore& store, const std::string& id) {
     const JobKey key = make_job_key(kHost, id);
     std::vector<std::string> texts;
-    // A read answers what it has; the end is reached when a read behind it finds nothing more.
+    // A read may return only part of the results; the end is reached once a read returns no more.
     bool more = true;
     while (more) {
       const ResultPage page =
@@ -93,13 +93,14 @@
 }
 
 TEST_F(JobStoreTest, SubmissionWithLostAppendAnswersIsAccepted) {
-  first_log.faults.lose_answers = 2;  // The bodies' and the submission's.
+  first_log.faults.lose_answers = 2;  // Of the requests and of the submission.
   EXPECT_EQ(submit(first, make_job("j1", 2)), SubmitStatus::kAccepted);
   EXPECT_EQ(find(second, "j1"), LookupStatus::kFound);
 }
 
 TEST_F(JobStoreTest, DelayedSubmissionIsNotAppliedTwice) {
-  // The first append is kept back; meanwhile another job passes it, so that its condition fails.
+  // The first append is delayed, and another job is appended before it, so that its condition
+  // fails.
   first_log.faults.topic = kJobsTopic;
   first_log.faults.delayed_appends = 1;
   first_log.faults.after_delayed_append = [&] {
@@ -121,7 +122,7 @@
 TEST_F(JobStoreTest, SubmissionWithUnknownOutcomeIsNotRefused) {
   first_log.faults.topic = kJobsTopic;
   first_log.faults.delayed_appends = 1000;
-  // A refusal would promise that it never runs; but the log may still take it.
+  // A refusal promises that the job never runs, but the log may still apply the submission.
   EXPECT_EQ(submit(first, make_job("j1", 1)), SubmitStatus::kUncertain);
   EXPECT_EQ(find(second, "j1"), LookupStatus::kAbsent);
   first_log.apply_delayed();
@@ -225,7 +226,8 @@
   EXPECT_EQ(submit(first, make_job("j1", 2)), SubmitStatus::kAccepted);
   write_result(first, "j1", 1, "one");
   EXPECT_EQ(read_texts(second, "j1"), (std::vector<std::string>{"one"}));
-  // The submissions are all read, of the results only the job's own: twice, the last time in vain.
+  // All submissions are read, but only the job's own results: twice, of which the second read finds
+  // nothing new.
   EXPECT_LE(second_log.records_read, kOthers + 1 + 2);
   write_result(first, "j1", 0, "zero");
   EXPECT_EQ(read_texts(second, "j1"), (std::vector<std::string>{"one", "zero"}));
@@ -243,7 +245,7 @@
 }
 
 TEST_F(JobStoreTest, JobsReadBeforeTheirHostIsFollowedAreReportedOnFollow) {
-  // A restarted node answers a read before it knows the configuration that names the host.
+  // A restarted node may answer a read before it has the configuration that contains the host.
   EXPECT_EQ(submit(first, make_job("j1", 1)), SubmitStatus::kAccepted);
   std::vector<JobKey> notified;
   second.set_listener([&](const JobKey& key, const JobEntry&) { notified.push_back(key); });
--- a/tests/jobs/one_job_reads_test.cc
+++ b/tests/jobs/one_job_reads_test.cc
@@ -5,10 +5,11 @@
 namespace stoathold {
 namespace {
 
-/// Reads for one job among many.
+/// Bytes read for one job among many.
 class OneJobReadsTest : public JobReadsFixture {
  protected:
-  /// Submits jobs with results of some of their items, and marks them finished if all are listed.
+  /// Submits jobs and writes results for their first `listed` items; marks a job finished if all of
+  /// its items have results.
   void submit_listed(JobNode& node, const std::vector<std::size_t>& numbers, std::size_t listed) {
     std::vector<std::uint32_t> items(listed);
     std::iota(items.begin(), items.end(), 0);
@@ -23,11 +24,11 @@
   }
 };
 
-/// Callers read each open job about twice a second, at any node. A read asks for the results from
-/// the first item on that isn't listed, so that results of later items come again with each poll,
-/// and the page is filled up to 1 MB with the results of other jobs. In the second region all nodes
-/// share 60 Mbit/s with these reads. Here 20 polls of a job with 240 kB of results, of which each
-/// brings one more, carry 10.6 MB: 44 times the results.
+/// Callers poll each open job about twice a second, at any node. Guards against polls that read
+/// again the results after the first unlisted item, in pages that are filled up to 1 MB with
+/// results of other jobs. 20 polls of a job with 240 kB of results, each after one new result,
+/// transfer 10.6 MB in that case, 44 times the results, while all nodes of the second region share
+/// a link of 60 Mbit/s for these reads.
 TEST_F(OneJobReadsTest, PollingCallerReadsEachResultAboutOnce) {
   constexpr std::size_t kOthers = 100;
   constexpr std::size_t kPolledJob = kOthers / 2;
@@ -44,7 +45,7 @@
   JobNode& asked = add_node("asked");
   const JobKey key = make_job_key(kHost, job_id(kPolledJob));
   for (std::uint32_t poll = 0; poll < kPolledItems; ++poll) {
-    // Every item once, the first one in the second half of the polls.
+    // Each item has one result, that of the first item in the second half of the polls.
     const std::uint32_t item = (7 * poll + 3) % kPolledItems;
     write_results(worker, kPolledJob, {item});
     const ResultPage page =
@@ -56,9 +57,10 @@
   EXPECT_LE(asked.log.reads_of_other_topics(kJobsTopic).bytes, 3 * kPolledItems * kResultBytes);
 }
 
-/// To erase a job its keys are read with all their values, and the page is filled up to 1 MB with
-/// other jobs, once for requests and once for results; a fleet erases as many jobs as it takes.
-/// Here the erasure of one of 200 jobs with 270 kB reads 2.1 MB.
+/// Guards against reading other jobs to erase one. A read of the keys of a job returns their values
+/// too, and the page is filled up to 1 MB with other jobs, once for requests and once for results:
+/// the erasure of one of 200 jobs with 270 kB each reads 2.1 MB in that case. A fleet erases as
+/// many jobs as it accepts.
 TEST_F(OneJobReadsTest, ErasingAJobReadsNoOtherJobs) {
   constexpr std::size_t kJobs = 200;
   constexpr std::size_t kErasedJob = 20;
--- a/tests/jobs/paged_record_log.h
+++ b/tests/jobs/paged_record_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// A record log for tests that carries pages as the metadata store does, and counts them.
+/// A record log for tests that returns pages like the metadata store, and counts them.
 #pragma once
 
 #include <algorithm>
@@ -23,7 +23,7 @@
 
 namespace stoathold {
 
-/// Sizes of the metadata store, and as many slots as it deals.
+/// Limits of the metadata store, with its number of slots.
 inline LogLimits store_limits() {
   LogLimits limits;
   limits.record_bytes = 256UL * 1024;
@@ -34,17 +34,17 @@
   return limits;
 }
 
-/// What reads of topics brought.
+/// Number and size of the reads of some topics.
 struct ReadCount {
-  std::size_t calls = 0;    ///< Each page of newest records is one.
-  std::uint64_t bytes = 0;  ///< Of the keys and values carried, asked for or not.
+  std::size_t calls = 0;    ///< Number of reads; each page of newest records counts.
+  std::uint64_t bytes = 0;  ///< Bytes of keys and values, requested or not.
 };
 
-/// One node's way to a log that several share; the node holds all slots of its group.
+/// One node's connection to a shared log; the node holds all slots of its group.
 ///
-/// A page of newest records holds whatever keys follow, up to 500 records or 1 MB: what lies behind
-/// the range that was asked for is carried too, and dropped by the reader. No call fails unless a
-/// test says so.
+/// A page of newest records contains whatever keys follow, up to 500 records or 1 MB: records after
+/// the requested range are transferred too and dropped by the reader. Calls fail only if a test
+/// requests it.
 class PagedRecordLog final : public RecordLog {
  public:
   PagedRecordLog(std::shared_ptr<emulator::LogModel> model, boost::asio::any_io_executor executor)
@@ -52,29 +52,29 @@
     close_gate();
   }
 
-  /// From now on reads of topics whose names begin so wait until `release` is called.
+  /// Makes reads of topics with this prefix wait until `release` is called.
   void hold_reads(std::string topic_prefix) { held_read_prefix_ = std::move(topic_prefix); }
-  /// Lets the reads that wait now go on; later ones wait again.
+  /// Releases the calls that wait now; later calls wait again.
   void release() {
     gate_.cancel();
     close_gate();
   }
-  /// The same for appends; they are counted with the reads.
+  /// Makes appends to topics with this prefix wait likewise; `max_held` includes them.
   void hold_appends(std::string topic_prefix) { held_append_prefix_ = std::move(topic_prefix); }
-  /// Most calls that have waited at once.
+  /// Returns the highest number of calls that waited at the same time.
   [[nodiscard]] int max_held() const { return max_held_; }
-  /// From now on a read by offset that asks for more than this gets no answer in time.
+  /// Makes reads by offset that request more bytes than this time out, except on the jobs topic.
   void set_max_answered_read_bytes(std::uint64_t bytes) { max_answered_read_bytes_ = bytes; }
-  /// From now on an append of more than this gets no answer in time, and is not done.
+  /// Makes appends of more bytes than this time out without being applied.
   void set_max_answered_append_bytes(std::uint64_t bytes) { max_answered_append_bytes_ = bytes; }
-  /// The next read of newest records gets so many pages, and no answer to the one behind them.
+  /// Makes the next read of newest records time out after this number of pages.
   void lose_page_after(int pages) { pages_until_loss_ = pages; }
 
-  /// What was read of the topics whose names begin so.
+  /// Returns the reads of topics with this prefix.
   [[nodiscard]] ReadCount read_of(const std::string& topic_prefix) const {
     return sum([&](const std::string& topic) { return topic.starts_with(topic_prefix); });
   }
-  /// What was read of all others.
+  /// Returns the reads of all topics without this prefix.
   [[nodiscard]] ReadCount reads_of_other_topics(const std::string& topic_prefix) const {
     return sum([&](const std::string& topic) { return !topic.starts_with(topic_prefix); });
   }
@@ -156,8 +156,8 @@
   }
 
  private:
-  /// A call leaves the caller's turn of the loop, so that calls overlap, and waits while it is
-  /// held.
+  /// Continues in a later iteration of the event loop, so that calls overlap, and waits if reads of
+  /// the topic are held.
   boost::asio::awaitable<void> post_and_wait_if_held(std::string topic) {
     co_await boost::asio::post(gate_.get_executor(), boost::asio::use_awaitable);
     if (held_read_prefix_.empty() || !topic.starts_with(held_read_prefix_)) co_return;
@@ -189,12 +189,12 @@
 
   std::shared_ptr<emulator::LogModel> model_;
   LogLimits limits_;
-  boost::asio::steady_timer gate_;  ///< Never due; cancelled to let the reads go on.
+  boost::asio::steady_timer gate_;  ///< Never expires; cancelled to release held calls.
   std::string held_read_prefix_;
   std::string held_append_prefix_;
   std::uint64_t max_answered_read_bytes_ = std::numeric_limits<std::uint64_t>::max();
   std::uint64_t max_answered_append_bytes_ = std::numeric_limits<std::uint64_t>::max();
-  int pages_until_loss_ = -1;  ///< Below 0: no page is lost.
+  int pages_until_loss_ = -1;  ///< Negative: no page is lost.
   int held_ = 0;
   int max_held_ = 0;
   std::map<std::string, ReadCount> reads_;
--- a/tests/jobs/read_bounds_test.cc
+++ b/tests/jobs/read_bounds_test.cc
@@ -7,17 +7,17 @@
 namespace stoathold {
 namespace {
 
-/// What a node asks of the log at once, and what it asks for again.
+/// Concurrent reads and appends of a node, and what it sends again.
 class ReadBoundsTest : public JobReadsFixture {
  protected:
-  /// Submits a job of which all items are listed; it isn't marked finished.
+  /// Submits a job and writes results for all of its items, but does not mark it finished.
   void submit_listed(JobNode& node, NewJob job, std::size_t number) {
     std::vector<std::uint32_t> items(job.requests.size());
     std::iota(items.begin(), items.end(), 0);
     submit(node, std::move(job));
     write_results(node, number, items);
   }
-  /// Writes results of a job's first items, each in one record with its text.
+  /// Writes inline results for the first items of a job.
   void write_inline_results(JobNode& node, std::size_t number, std::uint32_t items) {
     const JobKey key = make_job_key(kHost, job_id(number));
     for (std::uint32_t item = 0; item < items; ++item) {
@@ -26,7 +26,7 @@
       EXPECT_TRUE(run_awaitable(loop, append_results(node.store, key, make)));
     }
   }
-  /// Has callers read a job from its start at one node, all at once.
+  /// Reads a job from its start at one node for several concurrent callers.
   void poll_concurrently(JobNode& node, std::size_t number, std::size_t callers) {
     const JobKey key = make_job_key(kHost, job_id(number));
     std::size_t answered = 0;
@@ -38,20 +38,20 @@
     }
     run_until([&] { return answered == callers; });
   }
-  /// Takes up all jobs while no runner is there.
+  /// Starts all jobs on a node while there are no runners.
   void run_jobs_without_runners(JobNode& node) {
     node.store.follow_host(kHost);
     node.runner.start();
-    // The time in which a process that has just started lets few items run is over.
+    // Skip the slow start, during which few items may run.
     suspend_machine(std::chrono::seconds(5));
     settle();
   }
 };
 
-/// In the second region 527 of 569 calls that were handed to another node got no answer in 700 ms;
-/// each is a caller's read, sent again each second, and each node that was asked read the job by
-/// itself. Reads of one job that overlap at a node each bring the whole: here 20 callers make a
-/// node that has just started read the list of the jobs and the job's results 20 times.
+/// Guards against concurrent reads of one job at a node that each transfer the whole job: 20
+/// callers then make a node that has just started read the list of jobs and the results 20 times.
+/// Callers repeat a read that times out each second; in the second region 527 of 569 calls
+/// forwarded to another node got no answer within 700 ms.
 TEST_F(ReadBoundsTest, ConcurrentCallersOfOneJobShareReads) {
   constexpr std::size_t kCallers = 20;
   submit_listed(add_node("worker"), make_job(0), 0);
@@ -62,11 +62,10 @@
   EXPECT_LE(asked.log.reads_of_other_topics(kJobsTopic).bytes, 2 * kResultsBytes);
 }
 
-/// A read of results that failed is sent again whole, by a caller who polls as by a node that takes
-/// up the job: pages that came through are thrown away. Here the last of three pages of 2.4 MB is
-/// lost once, and 4.4 MB are read.
-///
-/// The results lie whole in their records, as those of jobs that were accepted by older nodes do.
+/// Guards against discarding the pages that a failed read of results has received, whether a
+/// polling caller or a node that starts the job repeats the read: if the last of three pages of 2.4
+/// MB is lost once, 4.4 MB are read in that case. The results are inline, like those of jobs that
+/// were accepted by older nodes.
 TEST_F(ReadBoundsTest, CompletedPagesOfResultsAreNotReadAgain) {
   constexpr std::size_t kItems = 200;
   JobNode& worker = add_node("worker");
@@ -84,10 +83,10 @@
   EXPECT_LE(2 * asked.log.reads_of_other_topics(kJobsTopic).bytes, 3 * kItems * kResultBytes);
 }
 
-/// Each partition of results has a writer of its own, and a job's results have about a partition of
-/// their own: as many appends are under way as jobs have results, each of up to 2 MB, with one
-/// second, and sent again whole. Over 30 Mbit/s three of these starve one another as reads did; at
-/// the second region one result took 17.9 s to be written. Here 40 jobs have 40 appends at once.
+/// Guards against one concurrent append per job with results: each partition has its own writer,
+/// and jobs rarely share a partition, so 40 jobs have 40 concurrent appends. Each append may have 2
+/// MB, times out after one second and is sent again in full; on a 30 Mbit/s link three of them
+/// starve each other. In the second region one result took 17.9 s to be written.
 TEST_F(ReadBoundsTest, ResultsOfManyJobsAreWrittenWithLimitedConcurrency) {
   constexpr std::size_t kJobs = 40;
   constexpr int kMaxConcurrentAppends = 8;
@@ -108,9 +107,10 @@
   EXPECT_LE(node.log.max_held(), kMaxConcurrentAppends);
 }
 
-/// The requests of a submission are appended 512 kB at a time, each append with one second. One
-/// that is late is sent again whole, so on 5 Mbit/s, where callers try several nodes at once, a job
-/// with 300 kB of requests was not accepted in 30 s. Here a link carries 64 kB in that time.
+/// Guards against retrying an append of requests at the same size after a timeout. Appends have up
+/// to 512 kB and time out after one second: on a 5 Mbit/s link, where callers try several nodes at
+/// once, a job with 300 kB of requests was not accepted within 30 s. The link of this test carries
+/// 64 kB within the timeout.
 TEST_F(ReadBoundsTest, AppendsOfASubmissionShrinkUntilTheyFitASlowLink) {
   constexpr std::size_t kItems = 20;
   constexpr std::uint64_t kBytesInTime = 64'000;
@@ -119,10 +119,10 @@
   EXPECT_EQ(run_awaitable(loop, node.store.submit(make_job(0, kItems))), SubmitStatus::kAccepted);
 }
 
-/// The requests that a node holds are bounded by their number, 64 that wait and 256 that run, which
-/// includes those that wait for a place at a runner. An item may have 690 kB: a job of 200 is
-/// 138 MB, and machines have as little as 160 MB. Here no runner is there, and all of the 100
-/// requests, 69 MB, are held.
+/// Guards against limiting the requests that a node holds only by their number, 64 waiting and 256
+/// running, which includes those that wait for a runner's slot. An item may have 690 kB: a job of
+/// 200 items has 138 MB, and machines have as little as 160 MB. Without runners, all of the 100
+/// requests of this test, 69 MB, are held in that case.
 TEST_F(ReadBoundsTest, HeldRequestsAreLimitedByBytesWhileThereAreNoRunners) {
   constexpr std::size_t kItems = 100;
   constexpr std::size_t kLargeRequest = 690'000;
@@ -137,9 +137,9 @@
   EXPECT_LE(node.log.read_of("job-bodies").bytes, kMaxHeldBytes);
 }
 
-/// Once enough requests wait for their turn, nothing more is read, also of jobs that need none:
-/// a job whose last result was written just before its node was lost is not marked finished as long
-/// as 320 items of other jobs wait, here for a service that has no runner.
+/// Guards against blocking all reads once enough requests wait, including reads for jobs that need
+/// no requests: a job whose last result was written just before its node failed is then not marked
+/// finished while 320 items of other jobs wait, here for a service without runners.
 TEST_F(ReadBoundsTest, JobWithoutOpenItemsIsFinishedWhileOthersWaitForRunners) {
   constexpr std::size_t kWaitingJobItems = 200;  // As many as a job may have.
   constexpr std::size_t kListedJob = 2;
@@ -154,13 +154,12 @@
   EXPECT_EQ(node.finished_jobs(), 1U);
 }
 
-/// An item whose request isn't found is asked for again with its job, which may ask for less each
-/// time, and the bytes are counted from that item on: soon it is the only one that fits, and the
-/// items behind it are never read. Here one of 10 requests of 300 kB is gone, and 2 of the other 9
-/// reach a runner.
+/// Guards against a missing request that blocks the items after it. If each retry starts at the
+/// missing request and requests fewer bytes, soon no other item fits into the read: with one of 10
+/// requests of 300 kB missing, only 2 of the other 9 reach a runner.
 TEST_F(ReadBoundsTest, MissingRequestDoesNotBlockOtherItems) {
   constexpr std::size_t kLargeRequest = 300'000;
-  constexpr std::size_t kCallLimit = 40;  // 4 reads of up to 3 calls bring all.
+  constexpr std::size_t kCallLimit = 40;  // 4 reads of up to 3 calls return all requests.
   JobNode& before = add_node("before");
   NewJob job = make_job(0);
   for (auto& request : job.requests) request.body.assign(kLargeRequest, 'a');
@@ -181,13 +180,14 @@
   EXPECT_EQ(runner.requests.size(), kJobItems - 1);
 }
 
-/// What a read asks for is halved each time that it fails, and is the most again as soon as one
-/// came through: on a link that carries a part, each part costs as many reads in vain as were
-/// needed to come down to it, and other nodes are late for them. Here a job has 1.5 MB of
-/// requests, of which 160 kB come in time: 13 parts take 49 reads.
+/// The size of a read is halved after each failure. Guards against resetting it to the maximum
+/// after one success: on a slow link each successful read then costs as many failed ones as it
+/// takes to reach a size that fits, and these delay the reads of other nodes. With 1.5 MB of
+/// requests and a link that carries 160 kB within the timeout, 13 successful reads take 49 reads in
+/// that case.
 TEST_F(ReadBoundsTest, ReadSizeDoesNotReturnToTheMaximumAfterOneSuccess) {
   constexpr std::size_t kItems = 100;
-  // 13 parts, one read in vain for each, and some to come down.
+  // 13 successful reads, one failed read for each, and some to reduce the size at first.
   constexpr std::size_t kMaxCalls = 32;
   submit(add_node("before"), make_job(0, kItems));
   JobNode& node = add_node("after");
@@ -198,11 +198,12 @@
   EXPECT_LE(node.log.read_of("job-bodies").calls, kMaxCalls);
 }
 
-/// The requests of a job are appended before its submission, which may then be refused: the jobs'
-/// partition cannot be written, or the job no longer fits. The newest record of a key is kept for
-/// good, nobody erases a job that was never accepted, and the log takes nothing more once 400 MB
-/// are kept; what lies behind a job's keys is read with them, up to 1 MB. After a loss of all nodes
-/// 1060 submissions were refused.
+/// Guards against requests that remain after their submission is refused. Requests are appended
+/// before the submission, which is refused if the partition of the jobs topic cannot be written or
+/// the job is over its limit. The log keeps the newest record of a key forever, a job that was
+/// never accepted is never erased, and the log rejects writes at 400 MB; such requests also enlarge
+/// reads of the keys before them by up to 1 MB. After a restart of all nodes 1060 submissions were
+/// refused.
 TEST_F(ReadBoundsTest, RefusedSubmissionLeavesNoRequests) {
   FaultyRecordLog log(model, store_limits());
   JobStore store(loop.get_executor(), log, "node", quick_timing());
@@ -210,7 +211,7 @@
   log.faults.down = true;
   log.faults.allow_reads = true;
   ASSERT_EQ(run_awaitable(loop, store.submit(make_job(0))), SubmitStatus::kRefused);
-  settle();  // The caller doesn't wait for it.
+  settle();  // The requests are deleted in the background.
   const JobKey key = make_job_key(kHost, job_id(0));
   const PartitionName partition = store.partition_of(JobData::kRequests, key);
   EXPECT_TRUE(model->read_newest(partition, job_key_range(key)).records.empty());
--- a/tests/jobs/result_records_test.cc
+++ b/tests/jobs/result_records_test.cc
@@ -1,5 +1,5 @@
-// Results in two records, a listing and its text: what a node reads of them, and what fails
-// halfway.
+// Results that are split into a listing and a text record: what a node reads of them, and partial
+// failures.
 #include <numeric>
 
 #include "tests/jobs/append_results.h"
@@ -29,7 +29,7 @@
   ResultPage read(JobNode& node, std::uint64_t position) {
     return run_awaitable(loop, node.store.read_results(kHost, key_of(0), position, Duration{0}));
   }
-  /// First letters of the texts in their positions; '-' for one that was not read.
+  /// Returns the first letter of the text at each position; '-' for a text that was not read.
   static std::string first_letters(const ResultPage& page) {
     std::string all;
     for (const auto& result : page.results->listed()) {
@@ -37,7 +37,7 @@
     }
     return all;
   }
-  /// What lies in the partition of the job's results.
+  /// Returns the newest records of the partition of the job's results.
   std::vector<StoredRecord> stored_results(JobNode& node) {
     const PartitionName partition = node.store.partition_of(JobData::kResults, key_of(0));
     return model->read_newest(partition, {}).records;
@@ -65,7 +65,8 @@
   EXPECT_TRUE(decode(short_one[0].value, whole));
 }
 
-/// Older nodes run a job that one of them accepted, and know no texts in records of their own.
+/// A job that an older node accepted may be run by older nodes, which do not support separate text
+/// records.
 TEST_F(ResultRecordsTest, ResultsOfJobsAcceptedByOlderNodesAreInlineAndCount) {
   JobNode& node = add_node("node");
   const JobSubmission older = make_job(0).submission;
@@ -94,8 +95,8 @@
   EXPECT_EQ(first_letters(read(add_node("by key"), 0)), "abcd");
 }
 
-/// Two nodes that each believe to have an item both write it; the first listing counts everywhere,
-/// whatever the keys' order and whichever way a node reads.
+/// Two nodes that both run an item both write its result. The first listing counts at all nodes,
+/// regardless of the order of the keys and of whether a node reads by offset or by key.
 TEST_F(ResultRecordsTest, FirstOfTwoResultsOfAnItemCountsAtAllNodes) {
   JobNode& first = add_node("z");
   JobNode& second = add_node("a");
@@ -144,7 +145,7 @@
   EXPECT_EQ(first_letters(read(add_node("by key"), 0)), "a");
 }
 
-/// A read by offset may end between a text and its listing; the next one brings the listing alone.
+/// A read by offset may end between a text and its listing; the next read returns only the listing.
 TEST_F(ResultRecordsTest, ReadThatEndsBetweenTextAndListingLosesNothing) {
   const Records records = result_records(result_of(0, long_text('a')), "writer", 5, true);
   ReadResult text{LogStatus::kOk, {{0, records[0].key, records[0].value}}, 1, {}};
@@ -170,8 +171,8 @@
   EXPECT_GT(later.bytes(), bytes_before);
 }
 
-/// The page with the listings comes, the one with the texts does not: an answer now would list
-/// results without their messages, and callers would take these for what the runner said.
+/// Guards against answering when the page with the listings arrives but the page with the texts
+/// does not: callers would take the empty texts for the output of the runner.
 TEST_F(ResultRecordsTest, ListingWithUnreadableTextIsNotReturned) {
   JobNode& node = add_node("node");
   submit(node, make_job(0));
@@ -191,7 +192,7 @@
   ASSERT_EQ(page.results->listed().size(), 3U);
   EXPECT_EQ(page.results->listed()[2].text, long_text('c'));
 
-  // What lies in front of it is answered, though the list is known to be longer.
+  // The results before it are returned, although the list is known to be longer.
   ASSERT_EQ(run_awaitable(loop, asked.store.refresh_results(key_of(0))), LogStatus::kOk);
   asked.log.lose_page_after(0);
   const ResultPage front = read(asked, 0);
@@ -228,11 +229,11 @@
   EXPECT_EQ(before, 6U);
   run(eraser.store.erase(kHost, key_of(0)));
   EXPECT_TRUE(stored_results(eraser).empty());
-  // Its texts are not read for that.
+  // Erasing the job does not read its texts.
   EXPECT_LE(eraser.log.read_of("job-results").bytes, kResultBytes);
 }
 
-/// Which items are open is told by the listings: a node that takes up jobs reads no text.
+/// The listings determine which items are open, so a node that starts a job reads no texts.
 TEST_F(ResultRecordsTest, StartingAJobReadsNoTexts) {
   std::vector<std::uint32_t> listed(kJobItems - 1);
   std::iota(listed.begin(), listed.end(), 0);
@@ -280,7 +281,7 @@
   EXPECT_LE(2 * asked.log.reads_of_other_topics(kJobsTopic).bytes, 3 * kItems * kResultBytes);
 }
 
-/// Callers who are at different positions of one job at one node share the reads of its texts.
+/// Callers that read one job from different positions at one node share the reads of its texts.
 TEST_F(ResultRecordsTest, CallersAtDifferentPositionsShareTextReads) {
   constexpr std::uint32_t kItems = 20;
   JobNode& worker = add_node("worker");
--- a/tests/jobs/run_awaitable.h
+++ b/tests/jobs/run_awaitable.h
@@ -1,5 +1,5 @@
 /// @file
-/// Runs a coroutine to its end on an event loop of its own.
+/// Test helper that runs a coroutine to completion on an event loop.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -9,7 +9,8 @@
 
 namespace stoathold {
 
-/// Returns the coroutine's value. The loop may have been used before.
+/// Runs the loop until the coroutine completes, and returns its value. The loop may have been run
+/// before.
 template <typename Value>
 Value run_awaitable(boost::asio::io_context& loop, boost::asio::awaitable<Value> task) {
   std::optional<Value> result;
