--- a/tests/jobs/job_memory_test.cc
+++ b/tests/jobs/job_memory_test.cc
@@ -1,4 +1,4 @@
-// Jobs at a node whose memory is short: reads wait, caches are dropped, nothing accepted is lost.
+// Jobs at a node with little free memory: reads wait, caches are dropped, no accepted job is lost.
 #include "tests/jobs/job_reads_fixture.h"
 
 namespace stoathold {
@@ -6,7 +6,7 @@
 
 class JobMemoryTest : public JobReadsFixture {
  protected:
-  /// Runs the loop until so many jobs are finished.
+  /// Runs the loop until the node knows of `jobs` finished jobs; fails after 40 s.
   void run_until_finished(JobNode& node, std::size_t jobs) {
     const TimePoint end = monotonic_now() + std::chrono::seconds(40);
     loop.restart();
@@ -17,8 +17,8 @@
   }
 };
 
-// The rest of the process holds all that there is: one request at a time is read all the same.
-TEST_F(JobMemoryTest, JobsGoOnThoughNothingIsLeftForThem) {
+// Requests are read, a few at a time, even if the rest of the process uses the whole budget.
+TEST_F(JobMemoryTest, JobsMakeProgressWithoutFreeMemory) {
   JobNode& node = add_node("node");
   MemoryBudget& memory = *node.context.memory;
   constexpr std::uint64_t kBudget = 10'000'000;
@@ -26,23 +26,23 @@
   const MemoryReservation others = memory.charge(MemoryAccount::kAnswers, kBudget);
   constexpr std::size_t kJobs = 8;
   for (std::size_t number = 1; number <= kJobs; ++number) submit(node, make_job(number));
-  node.take_up_jobs(add_runner(result_answer()));
+  node.run_jobs(add_runner(result_answer()));
   run_until_finished(node, kJobs);
   EXPECT_EQ(memory.used(MemoryAccount::kJobRequests), 0U);
   EXPECT_EQ(memory.used(MemoryAccount::kJobResults), 0U);
-  // Two reads are under way at a time, and each brings the requests of one job, counted twice, with
-  // their paths.
+  // At most two reads are in flight. Each returns the requests of one job, which are charged twice
+  // and include their paths.
   constexpr double kPaths = 1.1;
   EXPECT_LE(static_cast<double>(memory.peak(MemoryAccount::kJobRequests)),
             kPaths * 2 * 2 * kRequestsBytes);
 }
 
-// What is dropped is read again, with each result at its position.
+// Dropped results are read again on demand, and each has the same position as before.
 TEST_F(JobMemoryTest, ResultsOfFinishedJobsAreDroppedAndReadAgain) {
   JobNode& node = add_node("node");
   MemoryBudget& memory = *node.context.memory;
   submit(node, make_job(1));
-  node.take_up_jobs(add_runner(result_answer()));
+  node.run_jobs(add_runner(result_answer()));
   run_until_finished(node, 1);
   const JobKey key = make_job_key(kHost, job_id(1));
   ResultPage page = run_awaitable(loop, node.store.read_results(kHost, key, 0, Duration{0}));
@@ -54,7 +54,7 @@
 
   constexpr std::uint64_t kBudget = 1000;
   memory.set_limit(kBudget);
-  node.store.forget_erased();
+  node.store.drop_erased_jobs();
   EXPECT_EQ(memory.used(MemoryAccount::kListedResults), 0U);
   page = run_awaitable(loop, node.store.read_results(kHost, key, 0, Duration{0}));
   ASSERT_EQ(page.status, LookupStatus::kFound);
@@ -63,8 +63,8 @@
   EXPECT_EQ(positions_again, positions);
 }
 
-// A job that is not finished is needed as it is: positions are told to its readers.
-TEST_F(JobMemoryTest, ResultsOfOpenJobsStay) {
+// Results of an open job must stay in memory: callers have already been given their positions.
+TEST_F(JobMemoryTest, ResultsOfOpenJobsAreKept) {
   JobNode& node = add_node("node");
   submit(node, make_job(1));
   write_results(node, 1, {3, 1});
@@ -73,7 +73,7 @@
   ASSERT_EQ(page.status, LookupStatus::kFound);
   constexpr std::uint64_t kBudget = 1000;
   node.context.memory->set_limit(kBudget);
-  node.store.forget_erased();
+  node.store.drop_erased_jobs();
   EXPECT_GE(node.context.memory->used(MemoryAccount::kListedResults), 2 * kResultBytes);
 }
 
--- a/tests/jobs/job_model_test.cc
+++ b/tests/jobs/job_model_test.cc
@@ -1,5 +1,5 @@
-/// Stateful fuzzing of batch jobs in the log: several nodes, each with its own faulty way to one
-/// log, against an oracle that only remembers what nodes have promised.
+/// Stateful fuzzing of batch jobs in the log: several nodes access one log through connections with
+/// injected faults, and an oracle checks later answers against those that nodes gave earlier.
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
 
@@ -24,7 +24,7 @@
 constexpr std::uint64_t kQueueLimit = 700;  // Two jobs of the four.
 constexpr const char* kHost = "drafts.example";
 
-/// Length to which the texts of results are filled up; so long ones lie in records of their own.
+/// Minimum length of the texts of results; long texts are stored in separate records.
 std::size_t result_bytes() {
   const char* bytes = std::getenv("STOATHOLD_RESULT_BYTES");
   return bytes == nullptr ? 0 : std::strtoul(bytes, nullptr, 10);
@@ -46,16 +46,16 @@
   return make_job_key(kHost, job_id(job));
 }
 
-/// What the callers were told.
+/// Answers that callers have received.
 struct Oracle {
   std::set<int> accepted;
-  std::set<int> uncertain;                       ///< May have been accepted.
-  std::map<int, std::vector<std::string>> seen;  ///< Longest list of results read.
+  std::set<int> uncertain;                               ///< May have been accepted.
+  std::map<int, std::vector<std::string>> results_seen;  ///< Longest list of results read.
   std::set<std::pair<int, std::uint32_t>> finished;
-  std::set<int> ended;
+  std::set<int> cancelled;
 };
 
-/// Over all runs, so that a check that tests nothing is noticed.
+/// Counts over all runs, to detect runs that exercise nothing.
 struct Totals {
   std::uint64_t commands = 0;
   std::uint64_t accepted = 0;
@@ -67,7 +67,7 @@
   return counts;
 }
 
-/// The nodes. A crash replaces a node's store, which keeps nothing.
+/// The nodes. A crash replaces the store of a node by an empty one.
 struct Fleet {
   Fleet() : model(std::make_shared<emulator::LogModel>()) {
     for (int node = 0; node < kNodes; ++node) {
@@ -115,8 +115,9 @@
   return made;
 }
 
-// The oracle needs what the system answered, so commands share this record of the run.
-Oracle& told() {
+// Answers received in the current run; commands share them because the model state of the framework
+// does not contain what the system answered.
+Oracle& observed_answers() {
   static Oracle oracle;
   return oracle;
 }
@@ -127,12 +128,12 @@
 
   void run(const Oracle& /*before*/, Fleet& fleet) const override {
     ++totals().commands;
-    Oracle& oracle = told();
-    std::uint64_t waiting = 0;
+    Oracle& oracle = observed_answers();
+    std::uint64_t queued_tokens = 0;
     for (const int accepted : oracle.accepted) {
-      if (oracle.ended.contains(accepted)) continue;
+      if (oracle.cancelled.contains(accepted)) continue;
       for (std::uint32_t item = 0; item < kItems; ++item) {
-        if (!oracle.finished.contains({accepted, item})) waiting += kTokensPerItem;
+        if (!oracle.finished.contains({accepted, item})) queued_tokens += kTokensPerItem;
       }
     }
     const SubmitStatus status =
@@ -141,7 +142,7 @@
       const bool added = oracle.accepted.insert(job).second;
       ++totals().accepted;
       if (added && !oracle.uncertain.contains(job)) {
-        RC_ASSERT(waiting + kItems * kTokensPerItem <= kQueueLimit);
+        RC_ASSERT(queued_tokens + kItems * kTokensPerItem <= kQueueLimit);
       }
     } else if (status == SubmitStatus::kUncertain) {
       oracle.uncertain.insert(job);
@@ -152,14 +153,14 @@
   void show(std::ostream& os) const override { os << "submit " << job << " at " << node; }
 };
 
-struct Finish : Command {
+struct WriteResult : Command {
   int node = pick_node();
   int job = pick_job();
   std::uint32_t item = *rc::gen::inRange<std::uint32_t>(0, kItems);
 
   void run(const Oracle& /*before*/, Fleet& fleet) const override {
     ++totals().commands;
-    Oracle& oracle = told();
+    Oracle& oracle = observed_answers();
     if (!oracle.accepted.contains(job)) return;
     JobStore& store = *fleet.stores[node];
     const JobKey key = job_key(job);
@@ -174,13 +175,13 @@
     if (done) oracle.finished.insert({job, item});
   }
   void show(std::ostream& os) const override {
-    os << "finish item " << item << " of " << job << " at " << node;
+    os << "write result of item " << item << " of " << job << " at " << node;
   }
 };
 
-/// What a caller was told at a position, without the item.
-std::string seen_text(const std::vector<std::string>& seen, std::size_t position) {
-  return seen[position].substr(seen[position].find('=') + 1);
+/// Returns the text that a caller has read at a position, without the item index.
+std::string result_text_seen(const std::vector<std::string>& results_seen, std::size_t position) {
+  return results_seen[position].substr(results_seen[position].find('=') + 1);
 }
 
 struct Read : Command {
@@ -189,9 +190,9 @@
 
   void run(const Oracle& /*before*/, Fleet& fleet) const override {
     ++totals().commands;
-    Oracle& oracle = told();
-    const auto& seen = oracle.seen[job];
-    const std::uint64_t position = seen.empty() ? 0 : seen.size() - 1;
+    Oracle& oracle = observed_answers();
+    const auto& results_seen = oracle.results_seen[job];
+    const std::uint64_t position = results_seen.empty() ? 0 : results_seen.size() - 1;
     const ResultPage page = run_awaitable(
         fleet.loop, fleet.stores[node]->read_results(kHost, job_key(job), position, Duration{0}));
     if (page.status == LookupStatus::kUncertain) return;
@@ -204,24 +205,25 @@
     std::vector<std::string> texts;
     std::set<std::uint32_t> items;
     for (const auto& result : page.results->listed()) {
-      // No read fails here, so only texts in front of the position may not have been read.
+      // No read fails here, so only texts before the position may be missing.
       const bool asked_for = texts.size() >= position;
       RC_ASSERT(result.has_text() || (!asked_for && result_bytes() > 0));
-      const std::string text = result.has_text() ? result.text : seen_text(seen, texts.size());
+      const std::string text =
+          result.has_text() ? result.text : result_text_seen(results_seen, texts.size());
       texts.push_back(std::to_string(result.item) + "=" + text);
       RC_ASSERT(items.insert(result.item).second);
     }
-    RC_ASSERT(texts.size() >= seen.size());
-    for (std::size_t i = 0; i < std::min(seen.size(), texts.size()); ++i) {
-      RC_ASSERT(texts[i] == seen[i]);
+    RC_ASSERT(texts.size() >= results_seen.size());
+    for (std::size_t i = 0; i < std::min(results_seen.size(), texts.size()); ++i) {
+      RC_ASSERT(texts[i] == results_seen[i]);
     }
     totals().results_read += texts.size();
-    if (texts.size() > seen.size()) oracle.seen[job] = texts;
+    if (texts.size() > results_seen.size()) oracle.results_seen[job] = texts;
   }
   void show(std::ostream& os) const override { os << "read " << job << " at " << node; }
 };
 
-struct ReadBody : Command {
+struct ReadRequests : Command {
   int node = pick_node();
   int job = pick_job();
 
@@ -239,7 +241,7 @@
       RC_ASSERT(request.body == job_id(job) + ":" + std::to_string(i));
     }
   }
-  void show(std::ostream& os) const override { os << "bodies of " << job << " at " << node; }
+  void show(std::ostream& os) const override { os << "read requests of " << job << " at " << node; }
 };
 
 struct Crash : Command {
@@ -249,7 +251,7 @@
   void show(std::ostream& os) const override { os << "crash " << node; }
 };
 
-struct BreakLog : Command {
+struct InjectFault : Command {
   int node = pick_node();
   int kind = *rc::gen::inRange(0, 5);
   int count = *rc::gen::inRange(1, 4);
@@ -259,13 +261,13 @@
     ++totals().faults;
     if (kind == 0) log.faults.lose_answers = count;
     if (kind == 1) log.faults.drop_appends = count;
-    if (kind == 2) log.faults.late_appends = count;
-    if (kind == 3) log.apply_late();
+    if (kind == 2) log.faults.delayed_appends = count;
+    if (kind == 3) log.apply_delayed();
     if (kind == 4) fleet.model->drop_history();
   }
   void show(std::ostream& os) const override {
-    constexpr std::array<const char*, 5> kNames{"lose answers", "drop appends", "keep appends back",
-                                                "apply late", "drop history"};
+    constexpr std::array<const char*, 5> kNames{"lose answers", "drop appends", "delay appends",
+                                                "apply delayed appends", "drop history"};
     os << kNames[kind] << " of " << node << " x" << count;
   }
 };
@@ -276,12 +278,12 @@
 int main() {
   using namespace stoathold;
   const bool held = rc::check("jobs in the log keep what callers were told", [] {
-    told() = Oracle{};
+    observed_answers() = Oracle{};
     Fleet fleet;
     const Oracle initial;
-    rc::state::check(
-        initial, fleet,
-        rc::state::gen::execOneOfWithArgs<Submit, Finish, Read, ReadBody, Crash, BreakLog>());
+    rc::state::check(initial, fleet,
+                     rc::state::gen::execOneOfWithArgs<Submit, WriteResult, Read, ReadRequests,
+                                                       Crash, InjectFault>());
   });
   std::printf("%llu commands on jobs, %llu acceptances, %llu results read, %llu faults\n",
               static_cast<unsigned long long>(totals().commands),
--- a/tests/jobs/one_job_reads_test.cc
+++ b/tests/jobs/one_job_reads_test.cc
@@ -5,10 +5,11 @@
 namespace stoathold {
 namespace {
 
-/// Reads for one job among many.
+/// Bytes read for one job among many.
 class OneJobReadsTest : public JobReadsFixture {
  protected:
-  /// Submits jobs with results of some of their items, and marks them finished if all are listed.
+  /// Submits jobs and writes results for their first `listed` items; marks a job finished if all of
+  /// its items have results.
   void submit_listed(JobNode& node, const std::vector<std::size_t>& numbers, std::size_t listed) {
     std::vector<std::uint32_t> items(listed);
     std::iota(items.begin(), items.end(), 0);
@@ -23,12 +24,12 @@
   }
 };
 
-/// Callers read each open job about twice a second, at any node. A read asks for the results from
-/// the first item on that isn't listed, so that results of later items come again with each poll,
-/// and the page is filled up to 1 MB with the results of other jobs. In the second region all nodes
-/// share 60 Mbit/s with these reads. Here 20 polls of a job with 240 kB of results, of which each
-/// brings one more, carry 10.6 MB: 44 times the results.
-TEST_F(OneJobReadsTest, ACallerWhoPollsReadsEachResultAboutOnce) {
+/// Callers poll each open job about twice a second, at any node. Guards against polls that read
+/// again the results after the first unlisted item, in pages that are filled up to 1 MB with
+/// results of other jobs. 20 polls of a job with 240 kB of results, each after one new result,
+/// transfer 10.6 MB in that case, 44 times the results, while all nodes of the second region share
+/// a link of 60 Mbit/s for these reads.
+TEST_F(OneJobReadsTest, PollingCallerReadsEachResultAboutOnce) {
   constexpr std::size_t kOthers = 100;
   constexpr std::size_t kPolledJob = kOthers / 2;
   constexpr std::uint32_t kPolledItems = 20;
@@ -44,7 +45,7 @@
   JobNode& asked = add_node("asked");
   const JobKey key = make_job_key(kHost, job_id(kPolledJob));
   for (std::uint32_t poll = 0; poll < kPolledItems; ++poll) {
-    // Every item once, the first one in the second half of the polls.
+    // Each item has one result, that of the first item in the second half of the polls.
     const std::uint32_t item = (7 * poll + 3) % kPolledItems;
     write_results(worker, kPolledJob, {item});
     const ResultPage page =
@@ -53,13 +54,14 @@
     ASSERT_EQ(page.results->listed().size(), poll + 1);
     EXPECT_EQ(page.results->listed().back().item, item);
   }
-  EXPECT_LE(asked.log.read_beside(kJobsTopic).bytes, 3 * kPolledItems * kResultBytes);
+  EXPECT_LE(asked.log.reads_of_other_topics(kJobsTopic).bytes, 3 * kPolledItems * kResultBytes);
 }
 
-/// To erase a job its keys are read with all their values, and the page is filled up to 1 MB with
-/// other jobs, once for requests and once for results; a fleet erases as many jobs as it takes.
-/// Here the erasure of one of 200 jobs with 270 kB reads 2.1 MB.
-TEST_F(OneJobReadsTest, AJobIsErasedWithoutReadingOthers) {
+/// Guards against reading other jobs to erase one. A read of the keys of a job returns their values
+/// too, and the page is filled up to 1 MB with other jobs, once for requests and once for results:
+/// the erasure of one of 200 jobs with 270 kB each reads 2.1 MB in that case. A fleet erases as
+/// many jobs as it accepts.
+TEST_F(OneJobReadsTest, ErasingAJobReadsNoOtherJobs) {
   constexpr std::size_t kJobs = 200;
   constexpr std::size_t kErasedJob = 20;
   JobNode& worker = add_node("worker");
@@ -72,10 +74,11 @@
   const JobKey key = make_job_key(kHost, job_id(kErasedJob));
   const JobEntry* job = nullptr;
   ASSERT_EQ(run_awaitable(loop, eraser.store.find(kHost, key, job)), LookupStatus::kFound);
-  const std::vector<PartitionName> partitions{eraser.store.partition_of(JobData::kBodies, key),
+  const std::vector<PartitionName> partitions{eraser.store.partition_of(JobData::kRequests, key),
                                               eraser.store.partition_of(JobData::kResults, key)};
   run(eraser.store.erase(kHost, key));
-  EXPECT_LE(eraser.log.read_beside(kJobsTopic).bytes, 3 * (kRequestsBytes + kResultsBytes));
+  EXPECT_LE(eraser.log.reads_of_other_topics(kJobsTopic).bytes,
+            3 * (kRequestsBytes + kResultsBytes));
 
   JobNode& other = add_node("other");
   EXPECT_EQ(run_awaitable(loop, other.store.find(kHost, key, job)), LookupStatus::kAbsent);
