--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -169,8 +169,8 @@
   }
   const Event event =
       outcome == RequestOutcome::kServed ? Event::kRequestServed : Event::kRequestEnded;
-  const auto answer_delay = request->answer_delay();
-  const bool in_time = answer_delay && *answer_delay <= route.latency_objective;
+  const auto response_delay = request->response_delay();
+  const bool in_time = response_delay && *response_delay <= route.latency_objective;
   log_event(event, {{"request", request->id()},
                     {"route", route.name},
                     {"tenant", check.caller.tenant},
@@ -178,7 +178,7 @@
                     {"configuration", std::to_string(configuration->version)},
                     {"runs", std::to_string(request->runs())},
                     {"in_time", in_time ? "yes" : "no"},
-                    {"answer_ms", answer_delay ? milliseconds_text(*answer_delay) : "none"},
+                    {"answer_ms", response_delay ? milliseconds_text(*response_delay) : "none"},
                     {"duration_ms", milliseconds_text(monotonic_now() - start)}});
 }
 
--- a/src/gateway/gateway_context.h
+++ b/src/gateway/gateway_context.h
@@ -49,9 +49,9 @@
   /// Returns the predicate of choices between runners: whether an idle connection to it is kept.
   /// @param longest_rest for which it may have rested.
   [[nodiscard]] std::function<bool(const Runner&)> connected(
-      Duration longest_rest = Duration::max()) const {
-    return [this, longest_rest](const Runner& runner) {
-      return pool.has_idle(runner.record().address, runner.hash(), longest_rest);
+      Duration max_idle_time = Duration::max()) const {
+    return [this, max_idle_time](const Runner& runner) {
+      return pool.has_idle(runner.record().address, runner.hash(), max_idle_time);
     };
   }
 
--- a/src/gateway/idle_connections.cc
+++ b/src/gateway/idle_connections.cc
@@ -19,24 +19,24 @@
 
 }  // namespace
 
-bool IdleConnections::IdleConnection::usable(std::uint64_t wanted, Duration longest_rest) const {
+bool IdleConnections::IdleConnection::usable(std::uint64_t wanted, Duration max_idle_time) const {
   const TimePoint now = monotonic_now();
-  return runner == wanted && now < usable_until && now - idle_since <= longest_rest;
+  return runner == wanted && now < usable_until && now - idle_since <= max_idle_time;
 }
 
 IdleConnections::Socket IdleConnections::take(const std::string& address, std::uint64_t runner,
-                                              Duration longest_rest) {
+                                              Duration max_idle_time) {
   const auto found = by_address_.find(address);
   if (found == by_address_.end()) return nullptr;
   auto& list = found->second;
   Socket taken;
   while (!list.empty() && !taken) {
     // Those in front of it have rested longer.
-    const bool rested_too_long = monotonic_now() - list.back().idle_since > longest_rest;
+    const bool rested_too_long = monotonic_now() - list.back().idle_since > max_idle_time;
     if (rested_too_long) break;
     IdleConnection last = std::move(list.back());
     list.pop_back();
-    const bool usable = last.usable(runner, longest_rest);
+    const bool usable = last.usable(runner, max_idle_time);
     if (usable && is_clean(*last.socket)) taken = std::move(last.socket);
   }
   if (list.empty()) by_address_.erase(found);
@@ -52,10 +52,10 @@
 }
 
 bool IdleConnections::has(const std::string& address, std::uint64_t runner,
-                          Duration longest_rest) const {
+                          Duration max_idle_time) const {
   const auto found = by_address_.find(address);
   if (found == by_address_.end() || found->second.empty()) return false;
-  return found->second.back().usable(runner, longest_rest);
+  return found->second.back().usable(runner, max_idle_time);
 }
 
 }  // namespace stoathold
--- a/src/gateway/idle_connections.h
+++ b/src/gateway/idle_connections.h
@@ -22,13 +22,13 @@
   /// @param runner start of the runner to which it must have been made.
   /// @param longest_rest for which it may have rested.
   /// @return null if there is none that may be used now.
-  Socket take(const std::string& address, std::uint64_t runner, Duration longest_rest);
+  Socket take(const std::string& address, std::uint64_t runner, Duration max_idle_time);
   /// Keeps a connection.
   /// @param keep_alive for which the runner keeps it.
   void give(const std::string& address, std::uint64_t runner, Socket socket, Duration keep_alive);
   /// Whether there is a connection that may be used now.
   [[nodiscard]] bool has(const std::string& address, std::uint64_t runner,
-                         Duration longest_rest) const;
+                         Duration max_idle_time) const;
 
  private:
   /// A connection to a runner that has gone may look open, if its machine lost power; and another
@@ -39,7 +39,7 @@
     TimePoint usable_until{};
     TimePoint idle_since{};
 
-    [[nodiscard]] bool usable(std::uint64_t wanted, Duration longest_rest) const;
+    [[nodiscard]] bool usable(std::uint64_t wanted, Duration max_idle_time) const;
   };
 
   std::map<std::string, std::vector<IdleConnection>> by_address_;  ///< Each the newest last.
--- a/src/gateway/metrics_page.cc
+++ b/src/gateway/metrics_page.cc
@@ -191,7 +191,10 @@
   families.push_back(labelled_counters(
       "stoathold_returns_total",
       "Rejected callers that were told to come back, that were promised a slot, and of these came.",
-      "step", {{"told", counters.told}, {"promised", counters.promised}, {"came", counters.came}}));
+      "step",
+      {{"told", counters.retry_advised},
+       {"promised", counters.promised},
+       {"came", counters.retried}}));
   MetricFamily tenants = make_family(
       "stoathold_tenant_rejections_total",
       "Requests of tenants that were rejected, by reason, told to come back, or came as told.",
@@ -207,11 +210,11 @@
       "stoathold_rejections_beside_batch_total",
       "Online requests rejected while batch held slots of the zone, and the sum of these slots.",
       "of",
-      {{"requests", counters.rejected_beside_batch},
-       {"batch_slots", counters.of_batch_when_rejected}}));
+      {{"requests", counters.rejections_with_batch_slots},
+       {"batch_slots", counters.batch_slots_at_rejections}}));
   families.push_back(gauge("stoathold_returns_expected",
                            "Callers of the zone that were told to come back and may still come.",
-                           static_cast<double>(context.admission.expected_returns())));
+                           static_cast<double>(context.admission.expected_retries())));
 }
 
 /// Adds what tenants were given of slots, what waits for them, and how that compares with a part.
--- a/src/gateway/online_admission.h
+++ b/src/gateway/online_admission.h
@@ -1,6 +1,6 @@
 /// @file
-/// Admission of online work at this node: joins the decisions of `src/admission` to the placement
-/// queue, to the digests of the zone and to the metrics.
+/// Admission control for online requests at this node: connects the policies of `src/admission` to
+/// the placement queue, to the digests exchanged within the zone and to the metrics.
 #pragma once
 
 #include <cstdint>
@@ -24,86 +24,97 @@
 
 namespace stoathold {
 
-/// What a rejection was decided from, for its log line.
+/// Inputs of a rejection decision, kept for its log event.
 struct RejectionInputs {
   WaitForecast forecast;
   ServiceFigures figures;
-  SlotRoom room;
+  SlotRoom capacity;
   double arrivals_per_second = 0;
 };
 
-/// State of one process; the policy, registry and queue outlive it. Used on one thread.
+/// Predicts how long online requests wait for a slot, rejects those that cannot be served in time,
+/// and remembers which rejected callers are expected to retry. One instance per process. The
+/// policy, registry and queue must outlive it. Not thread-safe.
 class OnlineAdmission {
  public:
-  /// @param zone of this node.
+  /// @param zone the zone of this node.
   OnlineAdmission(const LoadPolicy& policy, const RunnerRegistry& registry,
                   PlacementQueue& placement, std::string zone);
 
-  /// Whether waits are predicted and requests rejected by them.
+  /// Returns whether waits are predicted and requests rejected on the basis of the predictions.
   [[nodiscard]] bool active() const { return policy_.predicts_waits; }
-  /// Whether some caller was told to come back, so that a request's content matters.
-  [[nodiscard]] bool expects_returns() const { return active() && !returning_.empty(); }
-  /// A request for a service has come.
-  /// @param content nothing: nobody is expected.
-  AdmissionStanding arrived(const std::string& service, const std::string& tenant,
-                            std::uint32_t priority, std::optional<ContentHash> content);
-  /// A request has given its slot back.
-  struct SlotUse {
+  /// Returns whether any caller is expected to retry; only then is the content hash of a request
+  /// needed to recognize it.
+  [[nodiscard]] bool expects_retries() const { return active() && !retrying_callers_.empty(); }
+  /// Records the arrival of a request and returns whether it is new or an expected retry.
+  /// @param content hash of the request's content; `nullopt` if no retries are expected.
+  AdmissionStanding classify_arrival(const std::string& service, const std::string& tenant,
+                                     std::uint32_t priority, std::optional<ContentHash> content);
+  /// The release of a slot by a request.
+  struct SlotRelease {
     std::string service;
     std::string route;
     std::uint32_t priority = 0;
-    Duration held{0};
-    bool whole = false;  ///< It was served to its end, so that it tells what its route takes.
+    Duration hold_time{0};
+    bool completed =
+        false;  ///< Served to the end, so that it is a sample of its route's hold time.
   };
-  void freed(const SlotUse& use);
-  /// Returns for how long requests of a route hold a slot; 0: unknown.
+  void record_slot_release(const SlotRelease& release);
+  /// Returns the expected time for which requests of a route hold a slot; 0 if unknown.
   [[nodiscard]] Duration slot_time(const std::string& route) const {
     return slot_times_.expected(route);
   }
-  /// A rejected caller is told to come back.
-  void told(ContentHash content, const std::string& service, const std::string& tenant,
-            const PlacementRejection& rejection);
-  /// A request got its slot after a wait.
-  void waited(Duration wait) { counters_.observed_wait.observe(wait); }
-  /// Predicts a request's wait; nothing: a figure is missing.
-  [[nodiscard]] std::optional<RejectionInputs> inputs_of(const PlacementRequest& request,
-                                                         const QueuePosition& position,
-                                                         TimePoint now);
+  /// Records that a rejected caller was sent a time to retry, and expects its retry if a slot was
+  /// promised for that time.
+  void record_retry_advice(ContentHash content, const std::string& service,
+                           const std::string& tenant, const PlacementRejection& rejection);
+  /// Records how long a request waited before it got a slot.
+  void record_wait(Duration wait) { counters_.observed_wait.observe(wait); }
+  /// Predicts a request's wait; returns `nullopt` if an input of the prediction is unknown.
+  [[nodiscard]] std::optional<RejectionInputs> rejection_inputs(const PlacementRequest& request,
+                                                                const QueuePosition& position,
+                                                                TimePoint now);
 
-  /// Adds this node's reports to a digest.
+  /// Adds this node's backlog and expected retries to a digest.
   void add_reports(LoadDigest& digest, TimePoint now);
-  /// Takes those of another node of the zone.
+  /// Applies the backlog and expected retries reported by another node of the zone.
   void take_reports(const LoadDigest& digest, TimePoint now);
 
-  /// Counts by what was done: told, came, or the reason of a rejection.
-  using TenantSteps = std::map<std::string_view, std::uint64_t>;
+  /// Counts by step: "told" (sent a time to retry), "came" (retried), or the reason of a rejection.
+  using TenantStepCounts = std::map<std::string_view, std::uint64_t>;
   /// Counters for the metrics page.
   struct Counters {
-    std::uint64_t told = 0;      ///< Callers that were told to come back.
-    std::uint64_t promised = 0;  ///< Those for which a slot is expected then.
-    std::uint64_t came = 0;      ///< Those of any node of the zone that came to this one.
-    std::uint64_t rejected_beside_batch = 0;     ///< While batch held a slot of the zone.
-    std::uint64_t of_batch_when_rejected = 0;    ///< Sum of the slots that it held then.
-    std::map<std::string, TenantSteps> tenants;  ///< Bounded; those beyond share a row.
+    std::uint64_t retry_advised = 0;  ///< Rejected callers that were sent a time to retry.
+    std::uint64_t promised = 0;       ///< Those of them that were promised a slot at that time.
+    std::uint64_t retried =
+        0;  ///< Expected retries, of any node of the zone, that reached this node.
+    std::uint64_t rejections_with_batch_slots =
+        0;  ///< Rejections while batch held slots in the zone.
+    std::uint64_t batch_slots_at_rejections = 0;  ///< Sum of the slots that batch held then.
+    std::map<std::string, TenantStepCounts>
+        tenants;  ///< Bounded; tenants beyond the bound share a row.
     LatencyHistogram observed_wait;
-    LatencyHistogram predicted_wait;  ///< Of those that found no slot when they came.
+    LatencyHistogram predicted_wait;  ///< Of requests that found no free slot on arrival.
   };
   [[nodiscard]] const Counters& counters() const { return counters_; }
-  [[nodiscard]] std::size_t expected_returns() const { return returning_.size(); }
-  /// Returns a page of who waits for each service now, in the queue's order, and why.
+  [[nodiscard]] std::size_t expected_retries() const { return retrying_callers_.size(); }
+  /// Returns a plain-text listing of the requests that wait for each service, in queue order, with
+  /// the inputs of their predicted waits.
   [[nodiscard]] std::string waiting_page();
 
  private:
   std::optional<PlacementRejection> review(const PlacementRequest& request,
                                            const QueuePosition& position, TimePoint now);
-  [[nodiscard]] std::optional<ReturnTime> return_time(const PlacementRequest& request,
-                                                      const RejectionInputs& inputs, TimePoint now);
-  /// Returns how many callers with a promise are expected from a moment ago until then.
-  [[nodiscard]] std::uint32_t expected_within(const std::string& service, Duration ahead,
-                                              TimePoint now) const;
-  TenantSteps& tenant_row(const std::string& tenant);
-  [[nodiscard]] SlotRoom room_of(const std::string& service, TimePoint now);
-  [[nodiscard]] SlotRoom count_room(const std::string& service, TimePoint now) const;
+  [[nodiscard]] std::optional<ReturnTime> choose_retry_time(const PlacementRequest& request,
+                                                            const RejectionInputs& inputs,
+                                                            TimePoint now);
+  /// Returns how many callers that were promised a slot are expected to retry between one booking
+  /// bin ago and `ahead` from now.
+  [[nodiscard]] std::uint32_t expected_retries_within(const std::string& service, Duration ahead,
+                                                      TimePoint now) const;
+  TenantStepCounts& tenant_counts(const std::string& tenant);
+  [[nodiscard]] SlotRoom slot_capacity(const std::string& service, TimePoint now);
+  [[nodiscard]] SlotRoom count_slot_capacity(const std::string& service, TimePoint now) const;
 
   const LoadPolicy& policy_;
   const RunnerRegistry& registry_;
@@ -111,13 +122,14 @@
   std::string zone_;
   ZoneBacklog backlog_;
   SlotTimes slot_times_;
-  ReturningCallers returning_;
+  ReturningCallers retrying_callers_;
   Counters counters_;
-  struct CountedRoom {
-    SlotRoom room;
-    TimePoint counted{};
+  struct CachedCapacity {
+    SlotRoom capacity;
+    TimePoint counted_at{};
   };
-  std::map<std::string, CountedRoom> rooms_;  ///< By service, for a moment.
+  std::map<std::string, CachedCapacity>
+      capacity_cache_;  ///< By service; entries expire after a few ms.
 };
 
 }  // namespace stoathold
--- a/src/gateway/online_outcome.cc
+++ b/src/gateway/online_outcome.cc
@@ -1,4 +1,4 @@
-// How a request ends without a runner's whole answer, and what is logged of it.
+// The end of a request that has no complete response of a runner: refusals and log events.
 #include "base/event_log.h"
 #include "base/ids.h"
 #include "base/log_fields.h"
@@ -9,46 +9,47 @@
 
 namespace asio = boost::asio;
 
-/// Time after which a request that is not run now should come back, in seconds.
+/// Default Retry-After, in seconds, of a request that was not run.
 constexpr const char* kRetryAfterSeconds = "0.2";
 
 }  // namespace
 
-/// Held back, it would only keep its caller waiting for what nobody will run.
+/// The request is refused at once: no runner will run it while the quarantine lasts.
 asio::awaitable<void> OnlineRequest::refuse_quarantined(std::shared_ptr<Runner> runner) {
-  if (runner) give_place_back(*runner);
+  if (runner) release_slot(*runner);
   if (head_sent_ || runs_ > 0) {
-    co_await finish_without_answer();
+    co_await finish_without_response();
     co_return;
   }
   const Refusal refusal{.status = 503,
                         .reason = "quarantined",
-                        .advice = ReturnAdvice::kAfter,
+                        .advice = RetryAdvice::kComputedDelay,
                         .retry_after = quarantine_check_.time_left()};
   co_await refuse(refusal);
 }
 
-/// It has not run, and would not in the time that its caller has.
+/// Refuses a request that has not run and could not start within the caller's time limit.
 asio::awaitable<void> OnlineRequest::refuse_rejected() {
   Refusal refusal{
-      .status = 503, .reason = to_string(rejection_->reason).data(), .advice = ReturnAdvice::kNone};
+      .status = 503, .reason = to_string(rejection_->reason).data(), .advice = RetryAdvice::kNone};
   if (rejection_->retry_after) {
-    refusal.advice = ReturnAdvice::kAfter;
+    refusal.advice = RetryAdvice::kComputedDelay;
     refusal.retry_after = *rejection_->retry_after;
-    context_.admission.told(quarantine_check_.content(), service_, caller_.tenant, *rejection_);
+    context_.admission.record_retry_advice(quarantine_check_.content(), service_, caller_.tenant,
+                                           *rejection_);
   }
   co_await refuse(refusal);
 }
 
-asio::awaitable<void> OnlineRequest::finish_without_answer() {
+asio::awaitable<void> OnlineRequest::finish_without_response() {
   if (head_sent_) {
-    // Events that came whole before the answer broke are delivered.
+    // Complete events that arrived before the failure are delivered.
     if (!stopped_) co_await exchange_.flush();
     exchange_.abort();
-    if (!stopped_) outcome_ = RequestOutcome::kBrokenOff;
+    if (!stopped_) outcome_ = RequestOutcome::kTruncated;
     co_return;
   }
-  if (stopped_ && outcome_ == RequestOutcome::kCallerGone) co_return;
+  if (stopped_ && outcome_ == RequestOutcome::kCallerDisconnected) co_return;
   if (stopped_) {
     const Refusal refusal{
         .status = 504, .outcome = RequestOutcome::kTimedOut, .reason = "deadline"};
@@ -69,9 +70,9 @@
   outcome_ = refusal.outcome;
   ++context_.metrics.refusals[refusal.reason];
   std::string retry_after;
-  if (refusal.status == 503 && refusal.advice == ReturnAdvice::kUsual) {
+  if (refusal.status == 503 && refusal.advice == RetryAdvice::kDefaultDelay) {
     retry_after = kRetryAfterSeconds;
-  } else if (refusal.status == 503 && refusal.advice == ReturnAdvice::kAfter) {
+  } else if (refusal.status == 503 && refusal.advice == RetryAdvice::kComputedDelay) {
     retry_after = decimal_text(to_seconds(refusal.retry_after));
   }
   log_event(Event::kRequestUnanswered,
@@ -102,7 +103,7 @@
                                     {"step", std::string(to_string(status))},
                                     {"stage", std::string(to_string(stage_))},
                                     {"content", to_hex(value_of(quarantine_check_.content()))},
-                                    {"choice", choice_},
+                                    {"choice", choice_text_},
                                     {"failures", std::to_string(runner.failures())},
                                     {"last_event", std::to_string(last)},
                                     {"age_ms", milliseconds_text(monotonic_now() - arrival_)}});
--- a/src/gateway/online_relay.cc
+++ b/src/gateway/online_relay.cc
@@ -1,4 +1,4 @@
-// The answer's way from the runner to the caller: checks, whole events, framing.
+// Relays the response from the runner to the caller: checks of the head, event framing, resumption.
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
@@ -12,31 +12,31 @@
 
 namespace asio = boost::asio;
 
-/// Times the event gap objective that a resumable stream waits for its next event.
-constexpr double kEventGapPatience = 1.6;
+/// Factor of the event gap objective for which a resumable stream waits for its next event.
+constexpr double kEventGapTimeoutFactor = 1.6;
 
 }  // namespace
 
-asio::awaitable<AttemptResult> OnlineRequest::take_answer(Runner& runner) {
+asio::awaitable<AttemptResult> OnlineRequest::relay_response(Runner& runner) {
   const UpstreamHead& head = upstream_->head();
   constexpr int kServerError = 500;
-  constexpr int kGatewayTimeout = 504;  // The runner's at the deadline: says nothing about it.
+  constexpr int kGatewayTimeout = 504;  // At the deadline; says nothing about the runner.
   if (was_not_run(runner, head, context_.dialect)) co_return AttemptResult::kNotRun;
   const bool success = head.status >= 200 && head.status < 300;
   if (success && lacks_proof(head, context_.dialect)) co_return AttemptResult::kBroken;
-  const bool promise = head.status == 429 || head.status == 503 || head.status == 408;
-  // Passed on, these statuses would promise that the request never runs.
-  if (promise && !route_.repeatable()) co_return AttemptResult::kBroken;
+  const bool claims_not_run = head.status == 429 || head.status == 503 || head.status == 408;
+  // Relayed, these statuses would tell the caller that the request was not run.
+  if (claims_not_run && !route_.repeatable()) co_return AttemptResult::kBroken;
   if (head_sent_ && !success) co_return AttemptResult::kBroken;
   const bool another_run = runs_ + 1 < route_.max_attempts && route_.repeatable();
-  const bool own_error = head.status >= kServerError && head.status != kGatewayTimeout;
+  const bool runner_error = head.status >= kServerError && head.status != kGatewayTimeout;
   if (head.status >= kServerError && another_run) {
-    co_return own_error ? AttemptResult::kFailed : AttemptResult::kBroken;
+    co_return runner_error ? AttemptResult::kFailed : AttemptResult::kBroken;
   }
   if (success && route_.kind == RouteKind::kStreaming) co_return co_await relay_events(runner);
   const AttemptResult result = co_await relay_body(runner);
-  const bool passed_on = own_error && result == AttemptResult::kCompleted;
-  co_return passed_on ? AttemptResult::kErrorPassedOn : result;
+  const bool error_relayed = runner_error && result == AttemptResult::kCompleted;
+  co_return error_relayed ? AttemptResult::kErrorPassedOn : result;
 }
 
 asio::awaitable<bool> OnlineRequest::send_head() {
@@ -49,14 +49,14 @@
     if (!is_connection_header(header.name)) head.headers.push_back(header);
   }
   head_sent_ = true;
-  answer_delay_ = monotonic_now() - arrival_;
-  context_.metrics.first_event.observe(*answer_delay_);
+  response_delay_ = monotonic_now() - arrival_;
+  context_.metrics.first_event.observe(*response_delay_);
   const bool sent = co_await exchange_.start_response(head);
-  if (!sent) stop(RequestOutcome::kCallerGone);
+  if (!sent) stop(RequestOutcome::kCallerDisconnected);
   co_return sent;
 }
 
-void OnlineRequest::note_first_event(Runner& runner) {
+void OnlineRequest::record_first_event(Runner& runner) {
   if (stage_ == RunStage::kDelivering) return;
   stage_ = RunStage::kDelivering;
   const TimePoint now = monotonic_now();
@@ -65,12 +65,12 @@
   if (!context_.load_policy.knows_speeds) return;
   context_.speeds.observe_first_event(stable_hash(route_.name), runner.speed(), runner_work_, time,
                                       now);
-  if (!expected_) return;
-  context_.metrics.first_event_expected.observe(expected_->first_event);
+  if (!expected_times_) return;
+  context_.metrics.first_event_expected.observe(expected_times_->first_event);
   context_.metrics.first_event_observed.observe(time);
 }
 
-void OnlineRequest::note_event_gap(Runner& runner) {
+void OnlineRequest::record_event_gap(Runner& runner) {
   if (!context_.load_policy.knows_speeds || !last_event_) return;
   const TimePoint now = monotonic_now();
   const auto gap = gap_window_.advance(*last_event_, now);
@@ -89,41 +89,41 @@
       if (!sent) co_return AttemptResult::kStopped;
     }
     if (view.empty()) break;
-    note_first_event(runner);
+    record_first_event(runner);
     const bool written = co_await exchange_.write_ahead(view);
-    if (!written) stop(RequestOutcome::kCallerGone);
+    if (!written) stop(RequestOutcome::kCallerDisconnected);
     if (stopped_) co_return AttemptResult::kStopped;
   }
   co_return AttemptResult::kCompleted;
 }
 
 asio::awaitable<bool> OnlineRequest::send_whole_events(Runner& runner, std::string_view bytes,
-                                                       bool& spoiled) {
-  spoiled = !framer_.feed(bytes);
-  std::string pieces;
-  while (!spoiled) {
+                                                       bool& invalid) {
+  invalid = !framer_.feed(bytes);
+  std::string events;
+  while (!invalid) {
     const auto event = framer_.next();
     if (!event) break;
     if (event->id) {
       const bool expected = !last_event_ || *event->id == *last_event_ + 1;
-      if (!expected) spoiled = true;
+      if (!expected) invalid = true;
       if (!expected) break;
       last_event_ = event->id;
     }
-    pieces.append(event->raw);
+    events.append(event->raw);
   }
-  if (pieces.empty()) co_return true;
-  note_first_event(runner);
-  note_event_gap(runner);
+  if (events.empty()) co_return true;
+  record_first_event(runner);
+  record_event_gap(runner);
   if (!head_sent_) {
     const bool sent = co_await send_head();
     if (!sent) co_return false;
   } else {
-    context_.metrics.event_gap.observe(monotonic_now() - last_piece_);
+    context_.metrics.event_gap.observe(monotonic_now() - last_write_);
   }
-  last_piece_ = monotonic_now();
-  const bool written = co_await exchange_.write_ahead(pieces);
-  if (!written) stop(RequestOutcome::kCallerGone);
+  last_write_ = monotonic_now();
+  const bool written = co_await exchange_.write_ahead(events);
+  if (!written) stop(RequestOutcome::kCallerDisconnected);
   co_return !stopped_;
 }
 
@@ -135,16 +135,16 @@
     const UpstreamStatus status = co_await upstream_->read_body(view);
     if (status != UpstreamStatus::kOk) co_return classify_failure(status);
     if (view.empty()) break;
-    bool spoiled = false;
+    bool invalid = false;
     runner.heard(monotonic_now());
-    const bool delivered = co_await send_whole_events(runner, view, spoiled);
+    const bool delivered = co_await send_whole_events(runner, view, invalid);
     if (!delivered) co_return AttemptResult::kStopped;
-    if (spoiled) co_return AttemptResult::kBroken;
+    if (invalid) co_return AttemptResult::kBroken;
     const bool resumable = route_.resumable && runs_ + 1 < route_.max_attempts;
     if (resumable) {
-      be_patient(scale(route_.event_gap_objective, kEventGapPatience));
+      start_silence_timeout(scale(route_.event_gap_objective, kEventGapTimeoutFactor));
     } else {
-      patience_ = Duration{0};
+      silence_timeout_ = Duration{0};
       upstream_->set_deadline(deadline_);
     }
   }
@@ -156,10 +156,10 @@
   co_return AttemptResult::kCompleted;
 }
 
-/// The runner's work is over and its place given back; the caller may still be reading.
-asio::awaitable<void> OnlineRequest::finish_answer() {
+/// The runner is done and its slot is released; the caller may still be reading.
+asio::awaitable<void> OnlineRequest::finish_response() {
   const bool delivered = co_await exchange_.finish_stream();
-  if (!delivered) stop(RequestOutcome::kCallerGone);
+  if (!delivered) stop(RequestOutcome::kCallerDisconnected);
   if (!stopped_) outcome_ = RequestOutcome::kServed;
 }
 
--- a/src/gateway/online_request.cc
+++ b/src/gateway/online_request.cc
@@ -18,29 +18,29 @@
 
 namespace asio = boost::asio;
 
-/// Time for a connection to come up; a runner that takes longer is passed over.
+/// Connect timeout; a runner that takes longer counts as unreachable.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(300);
-/// Times the latency objective that a request which may be repeated waits for a silent runner.
-constexpr double kFirstEventPatience = 1.5;
-/// No runner is given up as silent sooner.
-constexpr Duration kShortestPatience = std::chrono::milliseconds(300);
-/// Times that patience with a runner which answers other requests.
-constexpr int kPatienceFactor = 4;
-/// Longest rest of a connection that is used for a request which may not be repeated. Runners that
-/// close idle connections sooner than after a second do not say when; one that was used so lately
-/// is not about to be closed for its rest. Longer rests are for what may be repeated.
-constexpr Duration kShortRest = std::chrono::milliseconds(200);
-/// Runners that may turn a request away before it is refused.
+/// Factor of the latency objective for which a repeatable request waits for a silent runner.
+constexpr double kFirstEventTimeoutFactor = 1.5;
+/// Lower bound of the silence timeout.
+constexpr Duration kMinSilenceTimeout = std::chrono::milliseconds(300);
+/// Factor of the silence timeout for a runner that responds to other requests.
+constexpr int kBusyRunnerTimeoutFactor = 4;
+/// Longest idle time of a pooled connection that is used for a request which may not be repeated.
+/// Runners that close idle connections after less than a second do not announce their timeout; a
+/// connection that was used within this time is not about to be closed for being idle.
+constexpr Duration kMaxIdleTimeIfUnsafe = std::chrono::milliseconds(200);
+/// Maximum number of runners that a request is sent to before it is refused.
 constexpr std::uint32_t kMaxSends = 6;
-/// Assumed where neither caller nor route bounds a request.
+/// Timeout of a request for which neither the caller nor the route sets one.
 constexpr Duration kDefaultTimeout = std::chrono::seconds(60);
 
-/// Whether the caller has its answer.
+/// Returns whether the caller has the response of the runner.
 bool is_final(AttemptResult result) {
   return result == AttemptResult::kCompleted || result == AttemptResult::kErrorPassedOn;
 }
 
-/// Whether the request may have run without an answer for the caller.
+/// Returns whether the request may have run although the caller has no complete response.
 bool may_have_run(AttemptResult result) {
   return result == AttemptResult::kBroken || result == AttemptResult::kFailed;
 }
@@ -55,11 +55,11 @@
       return "refused";
     case RequestOutcome::kFailed:
       return "failed";
-    case RequestOutcome::kBrokenOff:
+    case RequestOutcome::kTruncated:
       return "broken_off";
     case RequestOutcome::kTimedOut:
       return "timed_out";
-    case RequestOutcome::kCallerGone:
+    case RequestOutcome::kCallerDisconnected:
       break;
   }
   return "caller_gone";
@@ -87,8 +87,9 @@
 void OnlineRequest::read_request() {
   const HeaderDialect& dialect = context_.dialect;
   Duration allowed = route_.timeout.count() > 0 ? route_.timeout : kDefaultTimeout;
-  const auto stated = parse_number(exchange_.header(dialect.deadline_ms));
-  if (stated) allowed = std::min<Duration>(allowed, std::chrono::milliseconds(*stated));
+  const auto caller_timeout = parse_number(exchange_.header(dialect.deadline_ms));
+  if (caller_timeout)
+    allowed = std::min<Duration>(allowed, std::chrono::milliseconds(*caller_timeout));
   deadline_ = arrival_ + allowed;
   id_ = std::string(exchange_.header(dialect.request_id));
   last_event_ = parse_number(exchange_.header(dialect.last_event_id));
@@ -104,10 +105,10 @@
   if (!route_.prefix_affinity) prompt_.shared_key = 0;
 }
 
-void OnlineRequest::start_watches() {
+void OnlineRequest::start_cancellation_watches() {
   exchange_.watch_disconnect([weak = weak_from_this()] {
     const auto self = weak.lock();
-    if (self) self->stop(RequestOutcome::kCallerGone);
+    if (self) self->stop(RequestOutcome::kCallerDisconnected);
   });
   deadline_timer_.expires_after(std::max(Duration{0}, deadline_ - arrival_));
   deadline_timer_.async_wait([weak = weak_from_this()](boost::system::error_code error) {
@@ -122,13 +123,13 @@
   outcome_ = outcome;
   if (ticket_) ticket_->cancel();
   if (upstream_) upstream_->cancel();
-  if (head_sent_ || outcome == RequestOutcome::kCallerGone) exchange_.abort();
+  if (head_sent_ || outcome == RequestOutcome::kCallerDisconnected) exchange_.abort();
 }
 
 asio::awaitable<RequestOutcome> OnlineRequest::serve() {
   const auto self = shared_from_this();
   ++context_.metrics.requests_open;
-  start_watches();
+  start_cancellation_watches();
   co_await run_attempts();
   deadline_timer_.cancel();
   --context_.metrics.requests_open;
@@ -137,60 +138,61 @@
 
 asio::awaitable<void> OnlineRequest::run_attempts() {
   while (!stopped_ && sends_ < kMaxSends) {
-    // A request that ends its runners comes again under other ids, at any node: known by its
-    // content, it ends 3 of them and those it has reached meanwhile; known by its id it ended 40
-    // of 12.
+    // A request that crashes its runners is retried under other ids at any node. Identified by its
+    // content it crashes 3 runners and those that it reached in the meantime; identified by its id
+    // it caused 40 crashes among 12 runners.
     std::shared_ptr<Runner> runner;
-    if (!quarantine_check_.is_quarantined()) runner = co_await place();
+    if (!quarantine_check_.is_quarantined()) runner = co_await acquire_slot();
     if (!stopped_ && quarantine_check_.is_quarantined()) {
       co_await refuse_quarantined(runner);
       co_return;
     }
     if (!runner) break;
-    // After a suspension a place may be found before the timer of the deadline has fired.
+    // After a suspension of the machine, a slot may be acquired before the deadline timer fires.
     if (monotonic_now() >= deadline_) {
-      give_place_back(*runner);
+      release_slot(*runner);
       stop(RequestOutcome::kTimedOut);
       break;
     }
-    if (lost_access()) {
-      co_await refuse_lost_access(*runner);
+    if (access_revoked()) {
+      co_await refuse_revoked_access(*runner);
       co_return;
     }
     ++sends_;
-    tried_.push_back(runner->hash());
+    tried_runners_.push_back(runner->hash());
     const AttemptResult result = co_await attempt(runner);
     context_.placement.capacity_changed();
     if (is_final(result)) {
-      co_await finish_answer();
+      co_await finish_response();
       co_return;
     }
-    // A caller whose time was up still gets its 504; closed, the connection would tell it nothing.
+    // At the deadline the caller gets a 504 response instead of a closed connection.
     if (result == AttemptResult::kStopped) break;
     if (may_have_run(result)) {
       if (!may_run_again()) break;
       if (head_sent_) ++context_.metrics.resumes;
     }
   }
-  co_await finish_without_answer();
+  co_await finish_without_response();
 }
 
-/// The key may have been taken away while the request waited. A stream that has begun goes on.
-bool OnlineRequest::lost_access() const {
+/// The caller's key may have been revoked while the request waited. A stream that has begun is not
+/// interrupted.
+bool OnlineRequest::access_revoked() const {
   if (head_sent_ || context_.configuration == configuration_) return false;
   return !is_still_allowed(*context_.configuration, route_, caller_);
 }
 
-void OnlineRequest::give_place_back(Runner& runner) {
+void OnlineRequest::release_slot(Runner& runner) {
   runner.end_attempt(AttemptOutcome::kAbandoned, monotonic_now(),
                      std::exchange(tokens_to_read_, 0));
   context_.placement.capacity_changed();
 }
 
-asio::awaitable<void> OnlineRequest::refuse_lost_access(Runner& runner) {
-  give_place_back(runner);
+asio::awaitable<void> OnlineRequest::refuse_revoked_access(Runner& runner) {
+  release_slot(runner);
   if (runs_ > 0) {
-    co_await finish_without_answer();
+    co_await finish_without_response();
   } else {
     const Refusal refusal{.status = 401, .reason = "key_unknown"};
     co_await refuse(refusal);
@@ -204,13 +206,14 @@
 
 bool OnlineRequest::has_alternative() const {
   if (runs_ + 1 >= route_.max_attempts) return false;
-  const SelectionRequest request{.service = service_, .zone = context_.zone, .excluded = tried_};
+  const SelectionRequest request{
+      .service = service_, .zone = context_.zone, .excluded = tried_runners_};
   return select_runner(context_.runners, request, monotonic_now()).runner != nullptr;
 }
 
-Duration OnlineRequest::longest_rest() const {
+Duration OnlineRequest::max_idle_time() const {
   if (route_.repeatable()) return Duration::max();
-  return context_.load_policy.keeps_connections ? kShortRest : Duration{0};
+  return context_.load_policy.keeps_connections ? kMaxIdleTimeIfUnsafe : Duration{0};
 }
 
 UpstreamRequest OnlineRequest::build_request(const Runner& runner) const {
@@ -222,7 +225,7 @@
   request.target = std::string(exchange_.target());
   request.body = exchange_.body();
   request.request_id = id_;
-  request.longest_rest = longest_rest();
+  request.max_idle_time = max_idle_time();
   request.headers = forwarded_headers_;
   const auto left =
       std::chrono::duration_cast<std::chrono::milliseconds>(deadline_ - monotonic_now());
@@ -234,25 +237,28 @@
   return request;
 }
 
-void OnlineRequest::be_patient(Duration patience) {
-  patience_ = std::max(patience, kShortestPatience);
-  quiet_since_ = monotonic_now();
-  upstream_->set_deadline(std::min(quiet_since_ + patience_, deadline_));
+void OnlineRequest::start_silence_timeout(Duration patience) {
+  silence_timeout_ = std::max(patience, kMinSilenceTimeout);
+  silent_since_ = monotonic_now();
+  upstream_->set_deadline(std::min(silent_since_ + silence_timeout_, deadline_));
 }
 
-/// A runner that is silent only for this request is busy, and another would be no faster: it is
-/// given up when it has been silent for all of this node's requests, or for very long.
+/// A runner that is silent only for this request is busy, and another runner would not be faster.
+/// The attempt is abandoned when the runner has been silent for all requests of this node, or for
+/// `kBusyRunnerTimeoutFactor` times the silence timeout.
 void OnlineRequest::watch_silence(const std::shared_ptr<Runner>& runner) {
   upstream_->set_deadline_extender([this, runner]() -> std::optional<TimePoint> {
     const TimePoint now = monotonic_now();
-    if (patience_.count() == 0 || now >= deadline_) return std::nullopt;
-    const bool heard = runner->last_heard() > quiet_since_;
-    if (!heard || now >= quiet_since_ + kPatienceFactor * patience_) return std::nullopt;
-    return std::min(now + patience_ / 2, deadline_);
+    if (silence_timeout_.count() == 0 || now >= deadline_) return std::nullopt;
+    const bool runner_active = runner->last_heard() > silent_since_;
+    if (!runner_active || now >= silent_since_ + kBusyRunnerTimeoutFactor * silence_timeout_)
+      return std::nullopt;
+    return std::min(now + silence_timeout_ / 2, deadline_);
   });
 }
 
-/// While the answer has not begun, the request may be waiting in the runner's own queue.
+/// Until the first event arrives, the request may be waiting in the runner's own queue; batch work
+/// is then asked to release slots of that runner.
 void OnlineRequest::watch_runner_queue(const std::shared_ptr<Runner>& runner, bool again) {
   runner_queue_timer_.expires_after(PlacementQueue::yield_delay(again));
   runner_queue_timer_.async_wait(
@@ -269,7 +275,7 @@
   const auto upstream = std::make_shared<UpstreamExchange>(context_.pool);
   upstream_ = upstream;
   upstream->set_deadline(deadline_);
-  patience_ = Duration{0};
+  silence_timeout_ = Duration{0};
   attempt_start_ = monotonic_now();
   stage_ = RunStage::kWaiting;
   UpstreamStatus status = co_await upstream->send(build_request(*runner), kConnectTimeout);
@@ -277,14 +283,15 @@
   if (status == UpstreamStatus::kOk) {
     watch_silence(runner);
     watch_runner_queue(runner, false);
-    const bool impatient = route_.repeatable() && has_alternative();
-    if (impatient) be_patient(scale(route_.latency_objective, kFirstEventPatience));
+    const bool retry_if_silent = route_.repeatable() && has_alternative();
+    if (retry_if_silent)
+      start_silence_timeout(scale(route_.latency_objective, kFirstEventTimeoutFactor));
     status = co_await upstream->read_head();
     result = classify_failure(status);
     if (status == UpstreamStatus::kOk) {
       stage_ = RunStage::kBegun;
       note_answer(context_, *runner, upstream->head(), tokens_to_read_);
-      result = co_await take_answer(*runner);
+      result = co_await relay_response(*runner);
     }
   }
   runner_queue_timer_.cancel();
@@ -301,7 +308,7 @@
   }
   upstream_.reset();
   runner->end_attempt(evidence_of(result), monotonic_now(), std::exchange(tokens_to_read_, 0));
-  note_slot_freed(result);
+  record_slot_release(result);
   if (result != AttemptResult::kCompleted) log_attempt(*runner, result, status);
   ++context_.metrics.attempts[std::string(to_string(status))];
   co_return result;
--- a/src/gateway/online_request.h
+++ b/src/gateway/online_request.h
@@ -1,5 +1,5 @@
 /// @file
-/// One caller's request on its way through the gateway: attempts at runners, resumption, answer.
+/// An online request in the gateway: attempts at runners, resumption of streams, response.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -22,22 +22,23 @@
 
 /// How a request ended, for logs and metrics.
 enum class RequestOutcome : std::uint8_t {
-  kServed,      ///< The runner's whole answer was passed on, whatever its status.
-  kRefused,     ///< Not run; the caller was given a time to come back.
-  kFailed,      ///< It may have run, and there is no answer.
-  kBrokenOff,   ///< The answer ended early.
-  kTimedOut,    ///< Its time was up.
-  kCallerGone,  ///< The caller closed its connection.
+  kServed,              ///< The runner's complete response was relayed, whatever its status.
+  kRefused,             ///< Not run; the caller may retry.
+  kFailed,              ///< It may have run, and no response was sent.
+  kTruncated,           ///< The response ended early.
+  kTimedOut,            ///< The deadline passed.
+  kCallerDisconnected,  ///< The caller closed its connection.
 };
 
 /// Returns the outcome's name for logs.
 std::string_view to_string(RequestOutcome outcome);
 
-/// Serves one request. Lives in a shared pointer as long as its coroutine; the exchange outlives
-/// the coroutine.
+/// Serves one online request. Owned by a shared pointer that its coroutine holds; the exchange must
+/// outlive the coroutine.
 ///
-/// A request that may not be repeated is answered "not run" (503) only while every runner that it
-/// was sent to has said so; once its fate is unknown the answer is 502 or 504.
+/// A request that may not be repeated gets the status 503 ("not run") only if every runner that it
+/// was sent to reported that it did not run it. Once its outcome is unknown the status is 502 or
+/// 504.
 class OnlineRequest : public std::enable_shared_from_this<OnlineRequest> {
  public:
   OnlineRequest(GatewayContext& context, HttpExchange& exchange,
@@ -46,59 +47,59 @@
 
   boost::asio::awaitable<RequestOutcome> serve();
 
-  /// Runners that may have run it.
+  /// Returns the number of runners that may have run the request.
   [[nodiscard]] std::uint32_t runs() const { return runs_; }
   [[nodiscard]] const std::string& id() const { return id_; }
-  /// From the request's arrival to the start of the answer; nothing if there was none.
-  [[nodiscard]] std::optional<Duration> answer_delay() const { return answer_delay_; }
+  /// Returns the time from the request's arrival to the start of the response, if one was started.
+  [[nodiscard]] std::optional<Duration> response_delay() const { return response_delay_; }
 
  private:
-  /// Events over which the time between two is measured: some windows in an answer of usual length.
+  /// Events per measurement of the event gap; a response of usual length has several such windows.
   static constexpr std::uint64_t kGapWindowEvents = 8;
 
   void read_request();
-  void start_watches();
+  void start_cancellation_watches();
   boost::asio::awaitable<void> run_attempts();
   boost::asio::awaitable<AttemptResult> attempt(const std::shared_ptr<Runner>& runner);
-  boost::asio::awaitable<AttemptResult> take_answer(Runner& runner);
+  boost::asio::awaitable<AttemptResult> relay_response(Runner& runner);
   boost::asio::awaitable<AttemptResult> relay_body(Runner& runner);
   boost::asio::awaitable<AttemptResult> relay_events(Runner& runner);
-  boost::asio::awaitable<void> finish_answer();
+  boost::asio::awaitable<void> finish_response();
   boost::asio::awaitable<bool> send_head();
   boost::asio::awaitable<bool> send_whole_events(Runner& runner, std::string_view bytes,
-                                                 bool& spoiled);
-  boost::asio::awaitable<void> finish_without_answer();
-  /// How a refusal tells when to come back.
-  enum class ReturnAdvice : std::uint8_t {
-    kUsual,  ///< After the usual time.
-    kAfter,  ///< After a time that was computed.
-    kNone,   ///< Coming back cannot help.
+                                                 bool& invalid);
+  boost::asio::awaitable<void> finish_without_response();
+  /// The value of the Retry-After header of a refusal.
+  enum class RetryAdvice : std::uint8_t {
+    kDefaultDelay,   ///< A fixed delay.
+    kComputedDelay,  ///< The delay in `Refusal::retry_after`.
+    kNone,           ///< No header, since a retry cannot succeed in time.
   };
   struct Refusal {
     int status = 0;
     RequestOutcome outcome = RequestOutcome::kRefused;
     const char* reason = "";
-    ReturnAdvice advice = ReturnAdvice::kUsual;
-    Duration retry_after{0};  ///< With `kAfter`.
+    RetryAdvice advice = RetryAdvice::kDefaultDelay;
+    Duration retry_after{0};  ///< With `kComputedDelay`.
   };
   boost::asio::awaitable<void> refuse(Refusal refusal);
   boost::asio::awaitable<void> refuse_rejected();
   boost::asio::awaitable<void> refuse_quarantined(std::shared_ptr<Runner> runner);
 
-  /// For which a connection may have rested that is used for this request.
-  [[nodiscard]] Duration longest_rest() const;
+  /// Returns how long a pooled connection may have been idle to be used for this request.
+  [[nodiscard]] Duration max_idle_time() const;
   [[nodiscard]] UpstreamRequest build_request(const Runner& runner) const;
   [[nodiscard]] AttemptResult classify_failure(UpstreamStatus status) const;
-  void give_place_back(Runner& runner);
+  void release_slot(Runner& runner);
   [[nodiscard]] bool may_run_again() const;
   [[nodiscard]] bool has_alternative() const;
-  [[nodiscard]] bool lost_access() const;
-  boost::asio::awaitable<void> refuse_lost_access(Runner& runner);
-  boost::asio::awaitable<std::shared_ptr<Runner>> place();
-  void bound_wait(PlacementRequest& request);
-  [[nodiscard]] TimePoint caller_patience_end(TimePoint since) const;
+  [[nodiscard]] bool access_revoked() const;
+  boost::asio::awaitable<void> refuse_revoked_access(Runner& runner);
+  boost::asio::awaitable<std::shared_ptr<Runner>> acquire_slot();
+  void limit_wait(PlacementRequest& request);
+  [[nodiscard]] TimePoint caller_timeout_at(TimePoint since) const;
   [[nodiscard]] AdmissionStanding standing();
-  void note_slot_freed(AttemptResult result);
+  void record_slot_release(AttemptResult result);
   [[nodiscard]] std::uint32_t priority() const {
     return caller_.priority.value_or(route_.priority);
   }
@@ -107,9 +108,9 @@
   void log_choice(const Selection& choice);
   void log_attempt(const Runner& runner, AttemptResult result, UpstreamStatus status);
   void stop(RequestOutcome outcome);
-  void be_patient(Duration patience);
-  void note_first_event(Runner& runner);
-  void note_event_gap(Runner& runner);
+  void start_silence_timeout(Duration patience);
+  void record_first_event(Runner& runner);
+  void record_event_gap(Runner& runner);
 
   GatewayContext& context_;
   HttpExchange& exchange_;
@@ -127,26 +128,26 @@
   Timer deadline_timer_;
   Timer runner_queue_timer_;
   std::shared_ptr<PlacementTicket> ticket_;
-  std::optional<PlacementRejection> rejection_;  ///< Of the last wait for a slot.
-  std::optional<AdmissionStanding> standing_;    ///< Once it was looked up.
-  std::uint32_t tokens_to_read_ = 0;  ///< Of the current attempt, until its answer begins.
+  std::optional<PlacementRejection> rejection_;  ///< Result of the last wait for a slot.
+  std::optional<AdmissionStanding> standing_;    ///< Set on the first call of `standing()`.
+  std::uint32_t tokens_to_read_ = 0;  ///< Of the current attempt, until its response begins.
   std::shared_ptr<UpstreamExchange> upstream_;
-  Duration patience_{0};     ///< Silence after which a runner is given up; 0: none.
-  TimePoint quiet_since_{};  ///< Since then nothing came for this request.
+  Duration silence_timeout_{0};  ///< Silence after which the attempt is abandoned; 0: no limit.
+  TimePoint silent_since_{};     ///< When the runner was last active for this request.
   EventFramer framer_;
-  std::vector<std::uint64_t> tried_;
-  std::string choice_;                     ///< What decided the current attempt's runner, for logs.
-  RunnerWork runner_work_;                 ///< What decides the times of its answer.
-  std::optional<ExpectedTimes> expected_;  ///< Those, if they were predicted.
+  std::vector<std::uint64_t> tried_runners_;
+  std::string choice_text_;  ///< Why the current attempt's runner was chosen, for logs.
+  RunnerWork runner_work_;   ///< Inputs of the predicted response times.
+  std::optional<ExpectedTimes> expected_times_;  ///< Predicted response times, if any.
   TimePoint attempt_start_{};
   RunStage stage_ = RunStage::kWaiting;  ///< Of the current attempt.
   std::uint32_t sends_ = 0;
   std::uint32_t runs_ = 0;
   bool head_sent_ = false;
-  std::optional<Duration> answer_delay_;
+  std::optional<Duration> response_delay_;
   bool stopped_ = false;
   std::optional<std::uint64_t> last_event_;
-  TimePoint last_piece_{};
+  TimePoint last_write_{};
   EventGapWindow gap_window_{kGapWindowEvents};
   RequestOutcome outcome_ = RequestOutcome::kFailed;
 };
--- a/src/gateway/online_wait.cc
+++ b/src/gateway/online_wait.cc
@@ -1,4 +1,4 @@
-// A request's wait for a slot: how long it may wait, and what is learned from it.
+// Waiting for a slot: the longest wait of a request, and what is recorded when the wait ends.
 #include <algorithm>
 #include <boost/asio/use_awaitable.hpp>
 
@@ -13,22 +13,23 @@
 
 namespace asio = boost::asio;
 
-/// Load at which a runner has no place left.
+/// Load at which a runner has no free slot.
 constexpr double kFullLoad = 1.0;
-/// Longest wait for a slot: soon after, callers give a stream up (2 s, or a multiple of their
-/// objectives, on all deployments).
-constexpr Duration kLongestWait = std::chrono::milliseconds(2000);
-/// Callers give a stream up after a gap of this length, or of so many latency objectives or allowed
-/// gaps, whichever is longest (the contract with callers).
-constexpr Duration kStreamPatience = std::chrono::milliseconds(2000);
-constexpr int kPatientObjectives = 4;
-constexpr int kPatientGaps = 8;
-/// Part of the caller's patience that the usual time to a first event may take of the time to wait.
-constexpr double kLongestFirstEventPart = 0.25;
+/// Longest wait for a slot. Callers abandon a stream soon after (after 2 s or a multiple of their
+/// objectives, in all deployments).
+constexpr Duration kMaxSlotWait = std::chrono::milliseconds(2000);
+/// By contract, callers abandon a stream after a gap of this length, of this many latency
+/// objectives or of this many event gap objectives, whichever is longest.
+constexpr Duration kCallerStreamTimeout = std::chrono::milliseconds(2000);
+constexpr int kCallerTimeoutLatencyObjectives = 4;
+constexpr int kCallerTimeoutEventGaps = 8;
+/// Largest fraction of the caller's timeout that is reserved for the usual time to the first event
+/// and therefore cannot be spent waiting.
+constexpr double kMaxFirstEventFraction = 0.25;
 
 }  // namespace
 
-asio::awaitable<std::shared_ptr<Runner>> OnlineRequest::place() {
+asio::awaitable<std::shared_ptr<Runner>> OnlineRequest::acquire_slot() {
   PlacementRequest request;
   request.selection = {.service = service_,
                        .zone = context_.zone,
@@ -36,22 +37,23 @@
                        .prompt_tokens = prompt_.tokens,
                        .shared_tokens = prompt_.shared_tokens,
                        .load_limit = kFullLoad,
-                       .excluded = tried_};
-  const Duration rest = longest_rest();
+                       .excluded = tried_runners_};
+  const Duration rest = max_idle_time();
   if (rest.count() > 0) request.selection.connected = context_.connected(rest);
   request.selection.keep_connections = context_.load_policy.keeps_connections;
   request.selection.node = context_.node;
   request.priority = priority();
-  // In time is who gets the first event by then: placed later, it would only keep others late.
+  // Placed after `due`, the request would miss its latency objective and only delay others.
   const Duration first_event = context_.first_event_times.expected(route_.name);
   request.due = arrival_ + route_.latency_objective - first_event;
-  request.give_up = std::min(arrival_ + kLongestWait, deadline_);
+  request.give_up = std::min(arrival_ + kMaxSlotWait, deadline_);
   request.hopeless = [this] { return quarantine_check_.is_quarantined(); };
   if (head_sent_) {
-    // The caller is reading: the next event is due however long ago the request came.
+    // The caller is already reading the stream, so the next event is due regardless of when the
+    // request arrived.
     const TimePoint now = monotonic_now();
     request.due = now + route_.event_gap_objective - first_event;
-    request.give_up = std::min(now + kLongestWait, deadline_);
+    request.give_up = std::min(now + kMaxSlotWait, deadline_);
   }
   request.selection.speeds = context_.known_speeds();
   request.selection.needs = {.route = stable_hash(route_.name),
@@ -64,47 +66,48 @@
   request.arrival = arrival_;
   request.deadline = deadline_;
   request.first_event = first_event;
-  if (context_.admission.active()) bound_wait(request);
+  if (context_.admission.active()) limit_wait(request);
   ticket_ = context_.placement.make_ticket(std::move(request));
   const TimePoint asked = monotonic_now();
   const auto runner = co_await context_.placement.acquire(ticket_);
-  if (runner) context_.admission.waited(monotonic_now() - asked);
+  if (runner) context_.admission.record_wait(monotonic_now() - asked);
   tokens_to_read_ = ticket_->selection().tokens_to_read;
   runner_work_ = ticket_->selection().runner_work();
-  expected_ = ticket_->selection().expected;
+  expected_times_ = ticket_->selection().expected;
   if (runner) log_choice(ticket_->selection());
   rejection_ = ticket_->rejection();
   ticket_.reset();
   co_return runner;
 }
 
-/// Until when a caller waits for the next event of a stream, the first one too.
-TimePoint OnlineRequest::caller_patience_end(TimePoint since) const {
+/// Returns the time until which a caller waits for the next event of a stream, including the first.
+TimePoint OnlineRequest::caller_timeout_at(TimePoint since) const {
   if (route_.kind != RouteKind::kStreaming) return deadline_;
   const Duration patience =
-      std::max({kStreamPatience, kPatientObjectives * route_.latency_objective,
-                kPatientGaps * route_.event_gap_objective});
+      std::max({kCallerStreamTimeout, kCallerTimeoutLatencyObjectives * route_.latency_objective,
+                kCallerTimeoutEventGaps * route_.event_gap_objective});
   return std::min(deadline_, since + patience);
 }
 
 AdmissionStanding OnlineRequest::standing() {
   if (!standing_) {
     std::optional<ContentHash> content;
-    if (context_.admission.expects_returns()) content = quarantine_check_.content();
-    standing_ = context_.admission.arrived(service_, caller_.tenant, priority(), content);
+    if (context_.admission.expects_retries()) content = quarantine_check_.content();
+    standing_ = context_.admission.classify_arrival(service_, caller_.tenant, priority(), content);
   }
   return head_sent_ || runs_ > 0 ? AdmissionStanding::kBegun : *standing_;
 }
 
-/// The request is worth a slot only while its first event finds its caller there, and a runner that
-/// is given less than the usual time for it works in vain.
-void OnlineRequest::bound_wait(PlacementRequest& request) {
+/// A slot is wasted on a request whose caller has left before the first event. The latest start
+/// therefore leaves the usual time to the first event before the caller's timeout.
+void OnlineRequest::limit_wait(PlacementRequest& request) {
   request.standing = standing();
   request.slot_time = context_.admission.slot_time(route_.name);
   const TimePoint since = head_sent_ ? monotonic_now() : arrival_;
-  request.last_use = caller_patience_end(since);
-  // What was learned behind full runners must not keep requests from runners that are free again.
-  const Duration longest = scale(request.last_use - since, kLongestFirstEventPart);
+  request.last_use = caller_timeout_at(since);
+  // The usual time may have been learned while runners were full. The bound keeps it from rejecting
+  // requests after runners are free again.
+  const Duration longest = scale(request.last_use - since, kMaxFirstEventFraction);
   request.last_start = request.last_use - std::min(request.first_event, longest);
   const bool streams = route_.kind == RouteKind::kStreaming;
   request.give_up = streams ? request.last_start : std::min(request.give_up, request.last_start);
@@ -112,23 +115,23 @@
 
 void OnlineRequest::log_choice(const Selection& choice) {
   const TimePoint now = monotonic_now();
-  choice_ = choice_text(choice, now);
+  choice_text_ = choice_text(choice, now);
   log_event(sends_ == 0 ? Event::kRequestSent : Event::kRequestSentAgain,
             {{"request", id_},
              {"runner", choice.runner->record().id},
-             {"choice", choice_},
+             {"choice", choice_text_},
              {"configuration", std::to_string(configuration_->version)},
              {"age_ms", milliseconds_text(now - arrival_)}});
 }
 
-/// Attempts that a runner turned away held no slot.
-void OnlineRequest::note_slot_freed(AttemptResult result) {
+/// Attempts that a runner rejected or that did not reach it held no slot.
+void OnlineRequest::record_slot_release(AttemptResult result) {
   if (result == AttemptResult::kNotRun || result == AttemptResult::kUnreachable) return;
-  context_.admission.freed({.service = service_,
-                            .route = route_.name,
-                            .priority = priority(),
-                            .held = monotonic_now() - attempt_start_,
-                            .whole = result == AttemptResult::kCompleted});
+  context_.admission.record_slot_release({.service = service_,
+                                          .route = route_.name,
+                                          .priority = priority(),
+                                          .hold_time = monotonic_now() - attempt_start_,
+                                          .completed = result == AttemptResult::kCompleted});
 }
 
 }  // namespace stoathold
--- a/src/gateway/upstream.cc
+++ b/src/gateway/upstream.cc
@@ -89,8 +89,8 @@
 UpstreamPool::~UpstreamPool() = default;
 
 bool UpstreamPool::has_idle(const std::string& address, std::uint64_t runner,
-                            Duration longest_rest) const {
-  return state_->idle.has(address, runner, longest_rest);
+                            Duration max_idle_time) const {
+  return state_->idle.has(address, runner, max_idle_time);
 }
 
 std::uint64_t UpstreamPool::connects() const {
@@ -276,8 +276,8 @@
   state->address = request.address;
   state->runner = request.runner;
   state->request_id = request.request_id;
-  if (request.longest_rest.count() > 0) {
-    state->socket = state->pool.idle.take(request.address, request.runner, request.longest_rest);
+  if (request.max_idle_time.count() > 0) {
+    state->socket = state->pool.idle.take(request.address, request.runner, request.max_idle_time);
   }
   if (!state->socket) {
     const UpstreamStatus status = co_await state->connect(connect_timeout);
--- a/src/gateway/upstream.h
+++ b/src/gateway/upstream.h
@@ -43,7 +43,7 @@
   /// Longest time for which an idle connection may have rested that is used; 0: a new one is made.
   /// The runner could be closing it just now: the request may then fail without a word, so what may
   /// not be repeated should allow little.
-  Duration longest_rest = Duration::max();
+  Duration max_idle_time = Duration::max();
 };
 
 /// The head of an answer.
@@ -67,7 +67,7 @@
 
   /// Whether an idle connection to the start of a runner is kept that may be used now.
   [[nodiscard]] bool has_idle(const std::string& address, std::uint64_t runner,
-                              Duration longest_rest = Duration::max()) const;
+                              Duration max_idle_time = Duration::max()) const;
   /// Connections made so far, for metrics.
   [[nodiscard]] std::uint64_t connects() const;
 
--- a/tests/gateway/online_admission_test.cc
+++ b/tests/gateway/online_admission_test.cc
@@ -1,5 +1,5 @@
-// Admission of online work in a whole gateway. The load: the only slot is taken, and other nodes of
-// the zone report what waits there. Callers have an objective of 300 ms and 5 s in all.
+// Online admission in a complete gateway with a single slot, which is taken. Other nodes of the
+// zone report their backlogs. The latency objective is 300 ms, the callers' timeout 5 s.
 #include "gateway/online_admission.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
     context.configuration = std::make_shared<const ServingConfiguration>(configuration);
     context.set_traits({.has_tenants = true});
   }
-  void fill() {
+  void take_only_slot() {
     add_runner(runner);
     context.runners.all().at("r1")->begin_attempt();
   }
@@ -29,36 +29,36 @@
     context.runners.all().at("r1")->end_attempt(AttemptOutcome::kServed, monotonic_now());
     context.placement.capacity_changed();
   }
-  /// Requests hold a slot for 100 ms.
-  void learn() {
+  /// Records that requests hold a slot for 100 ms.
+  void record_hold_times() {
     for (int i = 0; i < 20; ++i) {
-      context.admission.freed({.service = "chat",
-                               .route = "r",
-                               .priority = 0,
-                               .held = std::chrono::milliseconds(100),
-                               .whole = true});
+      context.admission.record_slot_release({.service = "chat",
+                                             .route = "r",
+                                             .priority = 0,
+                                             .hold_time = std::chrono::milliseconds(100),
+                                             .completed = true});
     }
   }
-  void hear_of_waiting(std::uint16_t waiting) {
+  void apply_peer_backlog(std::uint16_t waiting) {
     LoadDigest digest;
     digest.sender = 1;
     digest.backlogs = {
         {.service = stable_hash("chat"), .waiting = waiting, .waiting_slot_ms = waiting * 100U}};
     context.admission.take_reports(digest, monotonic_now());
   }
-  /// All slots are taken, what requests take is known, and so many wait at another node.
-  void crowd(std::uint16_t waiting_elsewhere) {
-    fill();
-    learn();
-    hear_of_waiting(waiting_elsewhere);
+  /// Takes the slot, makes hold times known, and reports requests waiting at another node.
+  void overload(std::uint16_t waiting_elsewhere) {
+    take_only_slot();
+    record_hold_times();
+    apply_peer_backlog(waiting_elsewhere);
   }
-  void start_asking() {
+  void start_request() {
     view.reset();
     boost::asio::co_spawn(
         loop, [this]() -> boost::asio::awaitable<void> { view = co_await call("/x/1"); },
         boost::asio::detached);
   }
-  void run_until_answered() {
+  void run_until_response() {
     while (!view) loop.run_one();
   }
   void run_until_waiting() {
@@ -69,9 +69,10 @@
   std::optional<CallerView> view;
 };
 
-// Until now such a request waited for 2 s and was then told to come back after 0.2 s.
-TEST_F(OnlineAdmissionTest, WhoCannotBeInTimeBehindOthersIsRejectedAsItComes) {
-  crowd(5);
+// Guards against letting such a request wait for 2 s before it gets a 503 with a Retry-After of
+// 0.2 s.
+TEST_F(OnlineAdmissionTest, RejectsOnArrivalIfThePredictedWaitIsTooLong) {
+  overload(5);
   int waits = 0;
   context.placement.decisions().waits = [&waits](const auto&...) { ++waits; };
   const CallerView answer = ask();
@@ -83,32 +84,33 @@
   EXPECT_TRUE(runner.requests.empty());
 }
 
-TEST_F(OnlineAdmissionTest, WithoutFiguresRequestsWaitAndAreServed) {
-  fill();
-  hear_of_waiting(50);
-  start_asking();
+TEST_F(OnlineAdmissionTest, QueuesRequestsWhileHoldTimesAreUnknown) {
+  take_only_slot();
+  apply_peer_backlog(50);
+  start_request();
   run_until_waiting();
   EXPECT_FALSE(view);
   free_slot();
-  run_until_answered();
+  run_until_response();
   EXPECT_EQ(view->status, 200);
 }
 
-TEST_F(OnlineAdmissionTest, ASlotThatIdlesIsTakenWhateverWaitsElsewhere) {
+TEST_F(OnlineAdmissionTest, UsesAnIdleSlotWhateverTheBacklogOfOtherNodes) {
   add_runner(runner);
-  learn();
-  hear_of_waiting(50);
+  record_hold_times();
+  apply_peer_backlog(50);
   EXPECT_EQ(ask().status, 200);
 }
 
-// A caller is to know 10 ms after it has become certain that it cannot be served. Reviews come at
-// least every `kReviewInterval`, and the first one after that rejects, whatever else happens. The
-// time itself is not measured here: beside busy processes a turn of the loop took 13 ms.
-TEST_F(OnlineAdmissionTest, WhoWaitsIsRejectedByTheFirstReviewAfterItHasBecomeCertain) {
+// A caller must get its rejection within 10 ms after it is certain that it cannot be served in
+// time. Waiting requests are reviewed at least every `kReviewInterval`, and the first review after
+// that point rejects. The test counts reviews instead of measuring time: on a busy machine one
+// iteration of the event loop took 13 ms.
+TEST_F(OnlineAdmissionTest, RejectsAWaitingRequestAtTheFirstReviewAfterItsWaitGrows) {
   static_assert(kReviewInterval < std::chrono::milliseconds(10));
-  fill();
-  learn();
-  start_asking();
+  take_only_slot();
+  record_hold_times();
+  start_request();
   run_until_waiting();
   ASSERT_FALSE(view);
   int reviews = 0;
@@ -117,15 +119,15 @@
     ++reviews;
     return review(arguments...);
   };
-  hear_of_waiting(50);
+  apply_peer_backlog(50);
   while (context.placement.waiting(WorkClass::kOnline) > 0) loop.run_one();
   EXPECT_EQ(reviews, 1);
-  run_until_answered();
+  run_until_response();
   EXPECT_EQ(view->status, 503);
 }
 
-TEST_F(OnlineAdmissionTest, ACallerThatWasToldToComeBackIsNotRejectedAgain) {
-  crowd(5);
+TEST_F(OnlineAdmissionTest, DoesNotRejectAnExpectedRetryAgain) {
+  overload(5);
   const CallerView first = ask();
   ASSERT_FALSE(first.retry_after.empty());
   boost::asio::steady_timer timer(loop);
@@ -135,59 +137,60 @@
     co_await timer.async_wait(boost::asio::use_awaitable);
     co_return 0;
   }());
-  learn();
-  hear_of_waiting(15);
-  start_asking();
+  record_hold_times();
+  apply_peer_backlog(15);
+  start_request();
   run_until_waiting();
   EXPECT_FALSE(view);
-  EXPECT_EQ(context.admission.counters().came, 1U);
+  EXPECT_EQ(context.admission.counters().retried, 1U);
   EXPECT_NE(context.admission.waiting_page().find("returned"), std::string::npos);
   free_slot();
-  run_until_answered();
+  run_until_response();
   EXPECT_EQ(view->status, 200);
 }
 
-// What the caller claims of itself makes no difference: only the node's own table does.
-TEST_F(OnlineAdmissionTest, AnotherRequestGainsNothingByTheOneThatWasTold) {
-  crowd(50);
+// A retry is recognized by the node's own table of content hashes, not by anything that the caller
+// sends about itself.
+TEST_F(OnlineAdmissionTest, OtherContentDoesNotCountAsTheExpectedRetry) {
+  overload(50);
   ASSERT_EQ(ask().status, 503);
   body = "another question";
   const CallerView other = ask();
   EXPECT_EQ(other.status, 503);
-  EXPECT_EQ(context.admission.counters().came, 0U);
+  EXPECT_EQ(context.admission.counters().retried, 0U);
 }
 
-TEST_F(OnlineAdmissionTest, NothingIsSaidWhereComingBackCannotHelp) {
+TEST_F(OnlineAdmissionTest, OmitsRetryAfterIfARetryCannotSucceed) {
   deadline_ms = "200";
-  crowd(50);
+  overload(50);
   const CallerView answer = ask();
   EXPECT_EQ(answer.status, 503);
   EXPECT_TRUE(answer.retry_after.empty());
 }
 
-// Callers give a stream up after 2 s without an event. Placed later, a request would run in vain.
-TEST_F(OnlineAdmissionTest, AStreamIsNotPlacedOnceItsCallerHasGivenItUp) {
-  fill();
-  start_asking();
-  run_until_answered();
+// Callers abandon a stream after 2 s without an event; a request that starts later wastes its slot.
+TEST_F(OnlineAdmissionTest, DoesNotStartAStreamAfterTheCallersTimeout) {
+  take_only_slot();
+  start_request();
+  run_until_response();
   EXPECT_EQ(view->status, 503);
   EXPECT_NE(view->body.find("past_use"), std::string::npos);
   EXPECT_TRUE(runner.requests.empty());
 }
 
-TEST_F(OnlineAdmissionTest, SwitchedOffRequestsWaitAsBefore) {
+TEST_F(OnlineAdmissionTest, QueuesRequestsIfAdmissionControlIsOff) {
   context.set_traits({});
-  crowd(50);
-  start_asking();
+  overload(50);
+  start_request();
   run_until_waiting();
   EXPECT_FALSE(view);
   free_slot();
-  run_until_answered();
+  run_until_response();
   EXPECT_EQ(view->status, 200);
 }
 
-TEST_F(OnlineAdmissionTest, ReportsTellWhatWaitsAndWhoWasTold) {
-  crowd(5);
+TEST_F(OnlineAdmissionTest, ReportsBacklogAndExpectedRetries) {
+  overload(5);
   ASSERT_EQ(ask().status, 503);
   LoadDigest digest;
   context.admission.add_reports(digest, monotonic_now());
@@ -198,29 +201,29 @@
   EXPECT_EQ(digest.backlogs[0].arrivals, 1U);
 }
 
-// 894 requests of a day of bursts beside jobs were rejected while batch items of their zone were
-// still to be asked for their slots: the forecast counted those only that requests give back.
-TEST_F(OnlineAdmissionTest, NobodyIsRejectedWhileBatchHoldsMoreSlotsThanAreAwaited) {
-  crowd(5);
+// Guards against a forecast that counts only the slots released by online requests and not those
+// that batch items release when asked. It rejected 894 requests in a day of bursts beside jobs.
+TEST_F(OnlineAdmissionTest, CountsPreemptibleBatchSlotsAsAvailable) {
+  overload(5);
   context.runners.all().at("r1")->set_peer_use(6, 0, 6);
-  start_asking();
+  start_request();
   run_until_waiting();
   EXPECT_FALSE(view);
   context.runners.all().at("r1")->set_peer_use(0, 0, 0);
   free_slot();
-  run_until_answered();
+  run_until_response();
   EXPECT_EQ(view->status, 200);
 }
 
-TEST_F(OnlineAdmissionTest, RejectionsAreCountedByTenantAndBesideTheSlotsOfBatch) {
-  crowd(15);
+TEST_F(OnlineAdmissionTest, CountsRejectionsByTenantAndWithBatchSlots) {
+  overload(15);
   context.runners.all().at("r1")->set_peer_use(2, 0, 2);
   ASSERT_EQ(ask().status, 503);
   const OnlineAdmission::Counters& counters = context.admission.counters();
-  EXPECT_EQ(counters.rejected_beside_batch, 1U);
-  EXPECT_EQ(counters.of_batch_when_rejected, 2U);
+  EXPECT_EQ(counters.rejections_with_batch_slots, 1U);
+  EXPECT_EQ(counters.batch_slots_at_rejections, 2U);
   ASSERT_EQ(counters.tenants.size(), 1U);
-  const OnlineAdmission::TenantSteps& steps = counters.tenants.begin()->second;
+  const OnlineAdmission::TenantStepCounts& steps = counters.tenants.begin()->second;
   EXPECT_EQ(steps.at("overloaded"), 1U);
   EXPECT_EQ(steps.at("told"), 1U);
 }
--- a/tests/gateway/online_request_test.cc
+++ b/tests/gateway/online_request_test.cc
@@ -9,18 +9,18 @@
 
 using OnlineRequestTest = GatewayFixture;
 
-TEST_F(OnlineRequestTest, WithoutAConfigurationNothingIsDenied) {
+TEST_F(OnlineRequestTest, WithoutAConfigurationRespondsWithRetryAfter) {
   const CallerView view = ask();
   EXPECT_EQ(view.status, 503);
   EXPECT_FALSE(view.retry_after.empty());
 }
 
-TEST_F(OnlineRequestTest, WithoutARouteItIsNotFound) {
+TEST_F(OnlineRequestTest, RespondsNotFoundWithoutARoute) {
   configure(RouteKind::kSafe, false);
   EXPECT_EQ(ask("/y/1").status, 404);
 }
 
-TEST_F(OnlineRequestTest, AStreamIsPassedOnWhole) {
+TEST_F(OnlineRequestTest, RelaysACompleteStream) {
   configure(RouteKind::kStreaming, true);
   ScriptedRunner runner(loop, {{stream_head() + chunk(event(1)) + chunk(event(2)) + kLastChunk}});
   add_runner(runner);
@@ -30,26 +30,27 @@
   EXPECT_NE(runner.requests[0].find("X-Expected-Instance: r1"), std::string::npos);
 }
 
-TEST_F(OnlineRequestTest, ABrokenStreamGoesOnBehindItsLastWholeEvent) {
+TEST_F(OnlineRequestTest, ResumesABrokenStreamAfterItsLastCompleteEvent) {
   configure(RouteKind::kStreaming, true);
   ScriptedRunner breaking(loop, {{stream_head() + chunk(event(1)) + chunk("id: 2\nda"), true}});
-  ScriptedRunner taking_up(loop, {{stream_head() + chunk(event(2)) + kLastChunk}});
+  ScriptedRunner resuming(loop, {{stream_head() + chunk(event(2)) + kLastChunk}});
   add_runner(breaking);
-  add_runner(taking_up);
+  add_runner(resuming);
   const CallerView view = ask();
   EXPECT_TRUE(view.complete);
   EXPECT_EQ(view.body, event(1) + event(2));
-  EXPECT_NE(taking_up.requests[0].find("Last-Event-Id: 1"), std::string::npos);
+  EXPECT_NE(resuming.requests[0].find("Last-Event-Id: 1"), std::string::npos);
 }
 
-TEST_F(OnlineRequestTest, AStreamThatBreaksLateWaitsForAPlaceToGoOn) {
+TEST_F(OnlineRequestTest, AStreamThatBreaksLateWaitsForASlotToResume) {
   configure(RouteKind::kStreaming, true);
   ScriptedAnswer late_break(stream_head() + chunk(event(1)), true);
-  late_break.pause = std::chrono::milliseconds(1700);  // Longer than a new request may wait.
+  late_break.pause =
+      std::chrono::milliseconds(1700);  // Longer than the wait limit of a new request.
   ScriptedRunner breaking(loop, {late_break});
-  ScriptedRunner taking_up(loop, {{stream_head() + chunk(event(2)) + kLastChunk}});
+  ScriptedRunner resuming(loop, {{stream_head() + chunk(event(2)) + kLastChunk}});
   add_runner(breaking);
-  add_runner(taking_up);
+  add_runner(resuming);
   const auto full = context.runners.all().at("r2");
   while (full->in_flight() < 10) full->begin_attempt();
   boost::asio::steady_timer timer(loop, std::chrono::milliseconds(1900));
@@ -62,17 +63,16 @@
   EXPECT_EQ(view.body, event(1) + event(2));
 }
 
-TEST_F(OnlineRequestTest, AStreamThatLeavesAGapIsNotPassedOn) {
+TEST_F(OnlineRequestTest, ResumesAStreamThatSkipsAnEvent) {
   configure(RouteKind::kStreaming, true);
   ScriptedRunner skipping(loop, {{stream_head() + chunk(event(1)) + chunk(event(3)), true}});
-  ScriptedRunner taking_up(loop,
-                           {{stream_head() + chunk(event(2)) + chunk(event(3)) + kLastChunk}});
+  ScriptedRunner resuming(loop, {{stream_head() + chunk(event(2)) + chunk(event(3)) + kLastChunk}});
   add_runner(skipping);
-  add_runner(taking_up);
+  add_runner(resuming);
   EXPECT_EQ(ask().body, event(1) + event(2) + event(3));
 }
 
-TEST_F(OnlineRequestTest, AStreamThatMayNotBeResumedIsCutOffForTheCallerToo) {
+TEST_F(OnlineRequestTest, AbortsABrokenStreamThatIsNotResumable) {
   configure(RouteKind::kStreaming, false, 1);
   ScriptedRunner breaking(loop, {{stream_head() + chunk(event(1)), true}});
   ScriptedRunner other(loop, {{stream_head() + chunk(event(2)) + kLastChunk}});
@@ -82,7 +82,7 @@
   EXPECT_TRUE(other.requests.empty());
 }
 
-TEST_F(OnlineRequestTest, WhatIsUnsafeIsNotSentTwiceNorCalledNotRun) {
+TEST_F(OnlineRequestTest, DoesNotResendOrDisclaimAnUnsafeRequest) {
   configure(RouteKind::kUnsafe, false, 3);
   ScriptedRunner closing(loop, {{"", true}});
   ScriptedRunner other(loop, {{plain_answer("again")}});
@@ -92,14 +92,14 @@
   EXPECT_TRUE(other.requests.empty());
 }
 
-TEST_F(OnlineRequestTest, ARunnersOwnRefusalWithoutItsPromiseIsNotPassedOnAsOne) {
+TEST_F(OnlineRequestTest, DoesNotRelayARunners503WithoutTheNotRunHeader) {
   configure(RouteKind::kUnsafe, false, 3);
   ScriptedRunner failing(loop, {{plain_answer("busy", "{id}", "503 Service Unavailable")}});
   add_runner(failing);
   EXPECT_EQ(ask().status, 502);
 }
 
-TEST_F(OnlineRequestTest, WhatWasNotRunGoesToAnotherRunner) {
+TEST_F(OnlineRequestTest, SendsARequestThatWasNotRunToAnotherRunner) {
   configure(RouteKind::kUnsafe, false, 1);
   ScriptedRunner full(loop,
                       {{plain_answer("", "{id}", "503 Service Unavailable", "X-Not-Run: 1\r\n")}});
@@ -113,7 +113,7 @@
   EXPECT_EQ(view.body, "answer");
 }
 
-TEST_F(OnlineRequestTest, WhatNobodyRanIsRefusedWithATimeToComeBack) {
+TEST_F(OnlineRequestTest, RespondsWithRetryAfterIfNoRunnerRanTheRequest) {
   configure(RouteKind::kUnsafe, false, 1);
   ScriptedRunner moved(loop, {{plain_answer("", "{id}", "421 Misdirected Request", "")}});
   add_runner(moved);
@@ -122,7 +122,7 @@
   EXPECT_FALSE(view.retry_after.empty());
 }
 
-TEST_F(OnlineRequestTest, SpoiledAnswersAreNotPassedOn) {
+TEST_F(OnlineRequestTest, DoesNotRelayUnverifiedResponses) {
   configure(RouteKind::kSafe, false, 3);
   ScriptedRunner unsigned_runner(loop, {{plain_answer("bad", "{id}", "200 OK", "")}});
   ScriptedRunner encoded(loop,
@@ -135,7 +135,7 @@
   EXPECT_EQ(ask().body, "answer");
 }
 
-TEST_F(OnlineRequestTest, ARunnersOwnErrorIsPassedOnUnchanged) {
+TEST_F(OnlineRequestTest, RelaysARunnersErrorUnchanged) {
   configure(RouteKind::kUnsafe, false, 1);
   ScriptedRunner failing(loop, {{plain_answer("mine", "{id}", "500 Internal Server Error")}});
   add_runner(failing);
@@ -144,7 +144,7 @@
   EXPECT_EQ(view.body, "mine");
 }
 
-TEST_F(OnlineRequestTest, ACallerThatLeavesEndsTheRunnersWork) {
+TEST_F(OnlineRequestTest, CancelsTheAttemptIfTheCallerDisconnects) {
   configure(RouteKind::kStreaming, true);
   ScriptedRunner runner(loop, {{stream_head() + chunk(event(1))}});
   add_runner(runner);
@@ -167,10 +167,9 @@
   EXPECT_EQ(context.runners.all().at("r1")->in_flight(), 0U);
 }
 
-/// The connection of a caller whose time was up in the middle of an attempt was closed without an
-/// answer: the end of its time ended the attempt, and an attempt that was ended so counted as
-/// answered.
-TEST_F(OnlineRequestTest, ACallerWhoseTimeIsUpDuringAnAttemptGetsAnAnswer) {
+/// Guards against closing the connection without a response when the deadline passes during an
+/// attempt: the attempt that the deadline stopped was counted as having sent its response.
+TEST_F(OnlineRequestTest, RespondsAtTheDeadlineDuringAnAttempt) {
   configure(RouteKind::kStreaming, true);
   ScriptedAnswer silent("");
   silent.pause = std::chrono::seconds(20);
@@ -182,7 +181,7 @@
   EXPECT_EQ(view.status, 504);
 }
 
-TEST_F(OnlineRequestTest, ARequestWaitsForTheFirstConfiguration) {
+TEST_F(OnlineRequestTest, WaitsForTheFirstConfiguration) {
   ScriptedRunner runner(loop, {{stream_head() + chunk(event(1)) + kLastChunk}});
   add_runner(runner);
   boost::asio::steady_timer timer(loop, std::chrono::milliseconds(30));
@@ -192,7 +191,7 @@
   EXPECT_EQ(view.body, event(1));
 }
 
-TEST_F(OnlineRequestTest, ARequestInTheQueueOfAnOvercommittedRunnerMakesBatchYieldThere) {
+TEST_F(OnlineRequestTest, ARequestQueuedAtAnOvercommittedRunnerPreemptsBatchThere) {
   configure(RouteKind::kStreaming, true);
   ScriptedAnswer silent("");
   silent.pause = std::chrono::seconds(20);
@@ -210,7 +209,7 @@
   EXPECT_EQ(asked, context.runners.all().at("r1").get());
 }
 
-TEST_F(OnlineRequestTest, ARequestUnderWhichThreeRunnersEndedReachesNoMore) {
+TEST_F(OnlineRequestTest, QuarantinesARequestAfterItCrashedThreeRunners) {
   configure(RouteKind::kStreaming, true);
   const ScriptedAnswer ends(stream_head(), true);
   std::vector<std::unique_ptr<ScriptedRunner>> runners;
@@ -218,7 +217,7 @@
     runners.push_back(std::make_unique<ScriptedRunner>(loop, std::vector{ends}));
     add_runner(*runners.back());
   }
-  // A runner that has ended is gone from the directory before the next copy comes.
+  // A crashed runner is removed from the registry before the request is sent again.
   const auto ask_once_more = [&] {
     const CallerView view = ask();
     for (std::size_t i = 0; i < runners.size(); ++i) {
@@ -237,7 +236,7 @@
   EXPECT_EQ(sends, 3U);
 }
 
-TEST_F(OnlineRequestTest, AnotherRequestAtTheSamePathIsServed) {
+TEST_F(OnlineRequestTest, ServesOtherRequestsAtThePathOfAQuarantinedOne) {
   configure(RouteKind::kStreaming, true);
   ScriptedRunner runner(loop, {{stream_head() + chunk(event(1)) + kLastChunk}});
   add_runner(runner);
@@ -252,7 +251,7 @@
   EXPECT_EQ(runner.requests.size(), 1U);
 }
 
-TEST_F(OnlineRequestTest, ARequestThatWaitsIsRefusedAsSoonAsItIsKnownToEndRunners) {
+TEST_F(OnlineRequestTest, RefusesAWaitingRequestOnceItIsQuarantined) {
   configure(RouteKind::kStreaming, true);
   ScriptedRunner runner(loop, {{stream_head() + chunk(event(1)) + kLastChunk}});
   add_runner(runner);
@@ -266,14 +265,14 @@
   const ContentHash content =
       content_hash({.tenant = "", .host = kHost, .target = "/x/1", .body = body});
   context.quarantine.take_record(content, {wall_clock_ms(), 3}, monotonic_now(), wall_clock_ms());
-  // Far fewer turns than the hundred in which a wait of two seconds looks for a place.
+  // Far fewer loop iterations than the hundred in which a wait of 2 s checks for a free slot.
   for (int turn = 0; turn < 50 && !view; ++turn) loop.run_one();
   ASSERT_TRUE(view);
   EXPECT_EQ(view->status, 503);
   EXPECT_TRUE(runner.requests.empty());
 }
 
-TEST_F(OnlineRequestTest, AStreamThatBrokeAfterAnEventIsNoEvidenceAgainstItsRequest) {
+TEST_F(OnlineRequestTest, AStreamThatBreaksAfterAnEventIsNotEvidenceForQuarantine) {
   configure(RouteKind::kStreaming, false, 1);
   const ScriptedAnswer breaks(stream_head() + chunk(event(1)), true);
   std::vector<std::unique_ptr<ScriptedRunner>> runners;
--- a/tests/gateway/upstream_test.cc
+++ b/tests/gateway/upstream_test.cc
@@ -19,12 +19,12 @@
 class UpstreamTest : public testing::Test {
  protected:
   Outcome call(ScriptedRunner& runner, const std::string& id,
-               Duration longest_rest = Duration::max()) {
-    return run_awaitable(loop, exchange(runner.address(), id, longest_rest));
+               Duration max_idle_time = Duration::max()) {
+    return run_awaitable(loop, exchange(runner.address(), id, max_idle_time));
   }
 
   boost::asio::awaitable<Outcome> exchange(std::string address, std::string id,
-                                           Duration longest_rest) {
+                                           Duration max_idle_time) {
     const auto upstream = std::make_shared<UpstreamExchange>(pool);
     upstream->set_deadline(monotonic_now() + std::chrono::seconds(20));
     UpstreamRequest request;
@@ -34,7 +34,7 @@
     request.headers = {{"Host", "a.example"}, {"X-Request-Id", id}};
     request.body = "question";
     request.request_id = id;
-    request.longest_rest = longest_rest;
+    request.max_idle_time = max_idle_time;
     Outcome outcome;
     outcome.status = co_await upstream->send(std::move(request), std::chrono::seconds(5));
     if (outcome.status == UpstreamStatus::kOk) outcome.status = co_await upstream->read_head();
