--- a/src/gateway/attempt_result.h
+++ b/src/gateway/attempt_result.h
@@ -1,5 +1,5 @@
 /// @file
-/// How one attempt at a runner ended, for online requests and batch items alike.
+/// Results of attempts at runners, for online requests and batch items.
 #pragma once
 
 #include <cstdint>
@@ -9,24 +9,24 @@
 
 namespace stoathold {
 
-/// How an attempt ended for the request. Only items of batch jobs end with `kImpossible` or
-/// `kYielded`.
+/// Result of an attempt for the request. `kImpossible` and `kYielded` occur only for items of batch
+/// jobs.
 enum class AttemptResult : std::uint8_t {
-  kCompleted,      ///< The answer came whole.
-  kFailed,         ///< The runner's own error; another may do better.
-  kErrorPassedOn,  ///< The runner's own error, which the caller got whole.
-  kImpossible,     ///< No runner can ever do it.
-  kNotRun,         ///< This runner did not run it; another may.
-  kUnreachable,    ///< Nothing reached the runner; another may.
-  kBroken,         ///< It may have run; what came so far counts.
-  kYielded,        ///< Gave its place back.
-  kStopped,        ///< The caller left, the time is up, or the job was stopped.
+  kCompleted,      ///< The complete response was received.
+  kFailed,         ///< Error of the runner; another runner may succeed.
+  kErrorPassedOn,  ///< Error of the runner, relayed completely to the caller.
+  kImpossible,     ///< No runner can process the request.
+  kNotRun,         ///< The runner reported that it did not run the request; another may.
+  kUnreachable,    ///< Nothing reached the runner; another may be reachable.
+  kBroken,  ///< The connection broke and the request may have run; events received so far are kept.
+  kYielded,  ///< Preempted: released its slot.
+  kStopped,  ///< The caller disconnected, the deadline passed or the job was stopped.
 };
 
 /// Returns the result's name for logs and metrics.
 std::string_view to_string(AttemptResult result);
 
-/// What the result says about the runner.
+/// Returns the outcome to record for the runner.
 AttemptOutcome evidence_of(AttemptResult result);
 
 }  // namespace stoathold
--- a/src/gateway/caller_check.cc
+++ b/src/gateway/caller_check.cc
@@ -44,8 +44,9 @@
 
 bool is_still_allowed(const ServingConfiguration& configuration, const Route& route,
                       const Caller& caller) {
-  const Route* now = configuration.find_route(route.host, route.path_prefix);
-  const bool anonymous_access = now == nullptr ? route.anonymous_access : now->anonymous_access;
+  const Route* current = configuration.find_route(route.host, route.path_prefix);
+  const bool anonymous_access =
+      current == nullptr ? route.anonymous_access : current->anonymous_access;
   return configuration.tenants.identify(caller.key, anonymous_access).allowed();
 }
 
--- a/src/gateway/caller_check.h
+++ b/src/gateway/caller_check.h
@@ -1,5 +1,5 @@
 /// @file
-/// Decides, before anything else, whether a request may be served at all: its route and its caller.
+/// Routing and authentication of a request, the first step of its processing.
 #pragma once
 
 #include <optional>
@@ -11,31 +11,33 @@
 
 namespace stoathold {
 
-/// Who sent a request, as far as later steps need it.
+/// The authenticated caller of a request.
 struct Caller {
-  std::string key;                        ///< As sent; a secret, only to be checked again.
-  std::string tenant;                     ///< Empty: anonymous.
-  std::optional<std::uint32_t> priority;  ///< Of the tenant; goes before the route's.
+  std::string key;     ///< API key as sent. A secret, kept only to be checked again.
+  std::string tenant;  ///< Empty for anonymous callers.
+  std::optional<std::uint32_t> priority;  ///< Of the tenant; overrides that of the route.
 };
 
-/// The decision on one request.
+/// Result of the check of one request.
 struct CallerCheck {
-  int status = 0;                  ///< 0: it may be served; else the status of the refusal.
-  const char* reason = "";         ///< Of the refusal, for the answer, logs and metrics.
-  const Route* route = nullptr;    ///< Valid as long as the configuration.
-  const Tenant* tenant = nullptr;  ///< Null: anonymous. Valid as long as the configuration.
+  int status = 0;  ///< 0 if the request is allowed, otherwise the HTTP status of the refusal.
+  const char* reason = "";         ///< Reason of the refusal for the response, logs and metrics.
+  const Route* route = nullptr;    ///< Owned by the configuration.
+  const Tenant* tenant = nullptr;  ///< Null if anonymous. Owned by the configuration.
   Caller caller;
 
   [[nodiscard]] bool allowed() const { return status == 0; }
 };
 
-/// Finds the route and the tenant of a request. An unknown key is refused with 401 before anything
-/// is said about routes; a route that is not there with 404.
+/// Finds the route and the tenant of a request. An unknown key is refused with 401 even if the
+/// route does not exist, so that it reveals nothing about routes; an unknown route is refused with
+/// 404.
 CallerCheck check_caller(const ServingConfiguration& configuration, const HeaderDialect& dialect,
                          const HttpExchange& exchange);
 
-/// Whether a caller that was allowed before may still use a route under a newer configuration. A
-/// route that is gone says nothing about its callers: requests that it admitted are served.
+/// Returns whether a caller that was allowed before may still use a route under a newer
+/// configuration. If the route no longer exists, its earlier access rule applies, so that requests
+/// which it admitted are served.
 bool is_still_allowed(const ServingConfiguration& configuration, const Route& route,
                       const Caller& caller);
 
--- a/src/gateway/fair_shares.cc
+++ b/src/gateway/fair_shares.cc
@@ -9,65 +9,69 @@
 namespace stoathold {
 namespace {
 
-/// Counters that changed within this time are repeated in each digest: some digests are lost.
-constexpr Duration kRepeated = std::chrono::milliseconds(250);
-/// The same for the digests that go out now and then to repair what was lost.
-constexpr Duration kRepeatedThoroughly = std::chrono::seconds(6);
-/// Most counters in a digest: 20 bytes each, beside the loads in one datagram.
-constexpr std::size_t kMostInDigest = 16;
-/// A tenant that stays above its part is logged this often.
-constexpr Duration kToldAgain = std::chrono::seconds(5);
-/// Between two rounds of forgetting and of looking for inversions.
-constexpr Duration kUpkeepInterval = std::chrono::seconds(5);
-/// Most tenants and services with metrics of their own: some hundred lines of the page.
+/// Counters that changed within this time are repeated in each digest, since digests may be lost.
+constexpr Duration kRepeatWindow = std::chrono::milliseconds(250);
+/// The same for the full digests, which are sent less often to repair losses.
+constexpr Duration kFullDigestRepeatWindow = std::chrono::seconds(6);
+/// Maximum number of counters in a digest. They take 20 bytes each and share one datagram with the
+/// loads.
+constexpr std::size_t kMaxDigestEntries = 16;
+/// Interval of the log events for a tenant that stays above its fair share.
+constexpr Duration kLogInterval = std::chrono::seconds(5);
+/// Interval between expiries of old usage and checks for priority inversions.
+constexpr Duration kMaintenanceInterval = std::chrono::seconds(5);
+/// Maximum number of pairs of service and tenant with metrics of their own; it bounds the metrics
+/// page to some hundred lines for them.
 constexpr std::size_t kMaxRows = 200;
-/// From this turn on a tenant is above its part; below it only its routes are put in order.
-constexpr double kAbovePart = 1;
+/// From this turn on a tenant is above its fair share; below it the turn only orders the tenant's
+/// routes.
+constexpr double kAboveShare = 1;
 
-ShareKey key_of(const PlacementRequest& request) {
+ShareKey share_key(const PlacementRequest& request) {
   const auto work = static_cast<std::uint64_t>(request.work);
   return {mix_hashes(stable_hash(request.selection.service), work), stable_hash(request.tenant)};
 }
 
 TurnRequest turn_request(const PlacementRequest& request) {
-  return {key_of(request), stable_hash(request.route), request.slot_time};
+  return {share_key(request), stable_hash(request.route), request.slot_time};
 }
 
-KindOfRequest kind_of(const PlacementRequest& request) {
+KindOfRequest request_kind(const PlacementRequest& request) {
   return {request.selection.service, request.route, request.priority};
 }
 
 }  // namespace
 
 void FairShares::configure(const ServingConfiguration& configuration) {
-  double sum = 0;
-  double limited = 0;
+  double total_limit = 0;
+  double limited_tenants = 0;
   for (const Tenant& tenant : configuration.tenants.tenants()) {
     if (tenant.limit.unlimited()) continue;
-    sum += tenant.limit.per_second;
-    ++limited;
+    total_limit += tenant.limit.per_second;
+    ++limited_tenants;
   }
-  // What a tenant may ask for is what it was promised; the mean is what one without a limit gets.
+  // A tenant's weight is its rate limit divided by the mean of all limits. A tenant without a limit
+  // has the weight of the mean.
   std::unordered_map<std::uint64_t, double> weights;
-  std::uint32_t least_urgent_tenant = 0;
+  std::uint32_t lowest_tenant_priority = 0;
   for (const Tenant& tenant : configuration.tenants.tenants()) {
-    least_urgent_tenant = std::max(least_urgent_tenant, tenant.priority.value_or(0));
+    lowest_tenant_priority = std::max(lowest_tenant_priority, tenant.priority.value_or(0));
     if (tenant.limit.unlimited()) continue;
-    weights[stable_hash(tenant.name)] = tenant.limit.per_second * limited / sum;
+    weights[stable_hash(tenant.name)] = tenant.limit.per_second * limited_tenants / total_limit;
   }
   ledger_.set_weights(std::move(weights));
   has_tenants_ = !configuration.tenants.tenants().empty();
-  least_urgent_.clear();
+  lowest_priority_.clear();
   for (const Route& route : configuration.routes) {
     if (route.kind == RouteKind::kBatch) continue;
     for (const WeightedService& target : route.services) {
-      std::uint32_t& least = least_urgent_[target.service];
-      least = std::max({least, route.priority, least_urgent_tenant});
+      std::uint32_t& lowest = lowest_priority_[target.service];
+      lowest = std::max({lowest, route.priority, lowest_tenant_priority});
     }
   }
 }
 
-void FairShares::add_to(PlacementDecisions& decisions) {
+void FairShares::register_with(PlacementDecisions& decisions) {
   decisions.turn = [this](const PlacementRequest& request, TimePoint now) {
     return turn(request, now);
   };
@@ -76,15 +80,16 @@
   };
   decisions.left = [this](const PlacementRequest& request, TimePoint now) { left(request, now); };
   decisions.yields = [this](const PlacementRequest& request) { return yields(request); };
-  // Tenants' shares come first: newcomers of the others are not put beside those of a flood.
+  // Fair shares take precedence: with tenants, new requests are not deferred in favor of retries,
+  // which may be those of a tenant that floods the service.
   decisions.may_leave_to_returned = [this](const PlacementRequest& request) {
-    return !has_tenants_ && is_least_urgent(request);
+    return !has_tenants_ && has_lowest_priority(request);
   };
 }
 
 double FairShares::turn(const PlacementRequest& request, TimePoint now) {
-  if (now - looked_after_ > kUpkeepInterval) {
-    looked_after_ = now;
+  if (now - last_maintenance_ > kMaintenanceInterval) {
+    last_maintenance_ = now;
     turns_.forget(now);
     log_inversions(now);
   }
@@ -93,64 +98,65 @@
     return 0;
   }
   const double turn = turns_.arrive(turn_request(request), now);
-  if (turn >= kAbovePart) log_above(request, now);
+  if (turn >= kAboveShare) log_above_share(request, now);
   return turn;
 }
 
 void FairShares::placed(const PlacementRequest& request, TimePoint now) {
-  const Duration given = turns_.placed(turn_request(request), now);
-  count_of(request).given_seconds += to_seconds(given);
+  const Duration granted = turns_.placed(turn_request(request), now);
+  counts_for(request).granted_seconds += to_seconds(granted);
   const bool in_time = now < request.due;
-  kinds_.count(kind_of(request), in_time ? KindOutcome::kInTime : KindOutcome::kLate, now);
+  kinds_.count(request_kind(request), in_time ? KindOutcome::kInTime : KindOutcome::kLate, now);
 }
 
 void FairShares::left(const PlacementRequest& request, TimePoint now) {
   turns_.left(turn_request(request));
-  // An item that found no slot asks again.
+  // A batch item that got no slot is queued again.
   if (request.work == WorkClass::kBatch) return;
-  kinds_.count(kind_of(request), KindOutcome::kNotPlaced, now);
+  kinds_.count(request_kind(request), KindOutcome::kNotPlaced, now);
 }
 
-/// Other nodes do not hear of priorities, so only the least urgent online work yields to theirs.
+/// Priorities are not exchanged between nodes, so only online work of the lowest priority yields to
+/// the requests of other nodes.
 bool FairShares::yields(const PlacementRequest& request) const {
-  return request.turn >= kAbovePart && request.work == WorkClass::kOnline &&
-         is_least_urgent(request);
+  return request.turn >= kAboveShare && request.work == WorkClass::kOnline &&
+         has_lowest_priority(request);
 }
 
-bool FairShares::is_least_urgent(const PlacementRequest& request) const {
-  const auto least = least_urgent_.find(request.selection.service);
-  return least != least_urgent_.end() && request.priority >= least->second;
+bool FairShares::has_lowest_priority(const PlacementRequest& request) const {
+  const auto lowest = lowest_priority_.find(request.selection.service);
+  return lowest != lowest_priority_.end() && request.priority >= lowest->second;
 }
 
 DigestPart FairShares::digest_part() {
-  return {.add = [this](LoadDigest& digest, bool thorough,
-                        TimePoint now) { report(digest, thorough, now); },
-          .take = [this](const LoadDigest& digest, TimePoint now) { take(digest, now); }};
+  return {.add = [this](LoadDigest& digest, bool full_digest,
+                        TimePoint now) { add_to_digest(digest, full_digest, now); },
+          .take = [this](const LoadDigest& digest, TimePoint now) { apply_digest(digest, now); }};
 }
 
-void FairShares::report(LoadDigest& digest, bool thorough, TimePoint now) const {
+void FairShares::add_to_digest(LoadDigest& digest, bool full_digest, TimePoint now) const {
   if (!policy_.shares_fairly) return;
-  const Duration age = thorough ? kRepeatedThoroughly : kRepeated;
-  digest.share_uses = ledger_.changes(age, kMostInDigest, now);
+  const Duration age = full_digest ? kFullDigestRepeatWindow : kRepeatWindow;
+  digest.share_uses = ledger_.changes(age, kMaxDigestEntries, now);
 }
 
-void FairShares::take(const LoadDigest& digest, TimePoint now) {
+void FairShares::apply_digest(const LoadDigest& digest, TimePoint now) {
   for (const ShareUse& use : digest.share_uses) ledger_.take(digest.sender, use, now);
 }
 
-FairShares::TenantCount& FairShares::count_of(const PlacementRequest& request) {
+FairShares::TenantCount& FairShares::counts_for(const PlacementRequest& request) {
   const auto name = std::pair(request.selection.service, request.tenant);
-  const bool room = tenants_.size() < kMaxRows || tenants_.contains(name);
-  TenantCount& count = tenants_[room ? name : std::pair(request.selection.service, "other")];
-  if (room) count.key = key_of(request);
+  const bool has_row = tenants_.size() < kMaxRows || tenants_.contains(name);
+  TenantCount& count = tenants_[has_row ? name : std::pair(request.selection.service, "other")];
+  if (has_row) count.key = share_key(request);
   return count;
 }
 
-void FairShares::log_above(const PlacementRequest& request, TimePoint now) {
-  TenantCount& count = count_of(request);
-  if (count.told != TimePoint{} && now - count.told < kToldAgain) return;
-  count.told = now;
-  const ShareKey key = key_of(request);
+void FairShares::log_above_share(const PlacementRequest& request, TimePoint now) {
+  TenantCount& count = counts_for(request);
+  if (count.last_logged != TimePoint{} && now - count.last_logged < kLogInterval) return;
+  count.last_logged = now;
+  const ShareKey key = share_key(request);
   log_event(Event::kTenantAboveShare,
             {{"service", request.selection.service},
              {"tenant", request.tenant},
@@ -174,7 +180,7 @@
   std::vector<TenantShareRow> rows;
   for (const auto& [name, count] : tenants_) {
     rows.push_back({name.first, name.second, ledger_.waiting_seconds(count.key),
-                    count.given_seconds, turns_.over_part(count.key, now)});
+                    count.granted_seconds, turns_.over_part(count.key, now)});
   }
   return rows;
 }
--- a/src/gateway/fair_shares.h
+++ b/src/gateway/fair_shares.h
@@ -1,6 +1,6 @@
 /// @file
-/// Fair shares of slots among tenants and routes: connects the turns to the placement queue, the
-/// digests between nodes, the configuration, logs and metrics.
+/// Fair sharing of slots among tenants and routes: connects the scheduler of `FairTurns` to the
+/// placement queue, the digests between nodes, the configuration, logs and metrics.
 #pragma once
 
 #include <cstdint>
@@ -21,33 +21,34 @@
 
 namespace stoathold {
 
-/// One tenant at one service, for metrics.
+/// Metrics of one tenant at one service.
 struct TenantShareRow {
   std::string service;
-  std::string tenant;          ///< "other" beyond a number of tenants.
-  double waiting_seconds = 0;  ///< Slot time that requests which wait here are predicted to take.
-  double given_seconds = 0;    ///< Slot time given by this node since its start.
-  double over_part = 0;        ///< Slot time lately at all nodes by its part; 1: just its part.
+  std::string tenant;          ///< "other" for tenants beyond the bound on rows.
+  double waiting_seconds = 0;  ///< Predicted slot time of the requests that wait at this node.
+  double granted_seconds = 0;  ///< Predicted slot time granted by this node since its start.
+  double over_part = 0;  ///< Recent slot time at all nodes divided by the tenant's fair share.
 };
 
-/// Gives out turns while the policy shares fairly; counts in any case, so that the policy may
-/// change at any moment. Used on one thread; the policy outlives it.
+/// Orders waiting requests by the fair shares of their tenants and routes while the policy enables
+/// it. Usage is counted in any case, so that the policy may change at any time. Not thread-safe;
+/// the policy must outlive it.
 class FairShares {
  public:
   explicit FairShares(const LoadPolicy& policy) : policy_(policy), turns_(ledger_) {}
   FairShares(const FairShares&) = delete;
   FairShares& operator=(const FairShares&) = delete;
 
-  /// A configuration is in force: takes the tenants' weights and the priorities from it.
+  /// Applies the tenants' weights and the priorities of a new configuration.
   void configure(const ServingConfiguration& configuration);
-  /// Fills in the decisions that this makes for a placement queue.
-  void add_to(PlacementDecisions& decisions);
-  /// Returns what this adds to the digests inside the zone, and takes from them.
+  /// Sets the callbacks of a placement queue that are decided by fair shares.
+  void register_with(PlacementDecisions& decisions);
+  /// Returns the handlers that write and read this part of the digests within the zone.
   [[nodiscard]] DigestPart digest_part();
-  /// Adds this node's use to a digest; nothing while the policy does not share fairly.
-  void report(LoadDigest& digest, bool thorough, TimePoint now) const;
-  /// Takes what another node of the zone reports.
-  void take(const LoadDigest& digest, TimePoint now);
+  /// Adds this node's slot usage to a digest; does nothing while the policy does not share fairly.
+  void add_to_digest(LoadDigest& digest, bool full_digest, TimePoint now) const;
+  /// Applies the slot usage that another node of the zone reports.
+  void apply_digest(const LoadDigest& digest, TimePoint now);
 
   [[nodiscard]] std::vector<TenantShareRow> tenant_rows(TimePoint now) const;
   [[nodiscard]] const KindWatch& kinds() const { return kinds_; }
@@ -56,8 +57,8 @@
   /// Names and counters of one tenant at one service.
   struct TenantCount {
     ShareKey key;
-    double given_seconds = 0;
-    TimePoint told{};  ///< When it was last logged to be above its part.
+    double granted_seconds = 0;
+    TimePoint last_logged{};  ///< When it was last logged as above its fair share.
   };
   using TenantCounts = std::map<std::pair<std::string, std::string>, TenantCount>;
 
@@ -65,20 +66,20 @@
   void placed(const PlacementRequest& request, TimePoint now);
   void left(const PlacementRequest& request, TimePoint now);
   [[nodiscard]] bool yields(const PlacementRequest& request) const;
-  [[nodiscard]] bool is_least_urgent(const PlacementRequest& request) const;
-  void log_above(const PlacementRequest& request, TimePoint now);
+  [[nodiscard]] bool has_lowest_priority(const PlacementRequest& request) const;
+  void log_above_share(const PlacementRequest& request, TimePoint now);
   void log_inversions(TimePoint now);
-  TenantCount& count_of(const PlacementRequest& request);
+  TenantCount& counts_for(const PlacementRequest& request);
 
   const LoadPolicy& policy_;
   ShareLedger ledger_;
   FairTurns turns_;
   KindWatch kinds_;
   TenantCounts tenants_;
-  /// Of online work, by service: the greatest priority number that a route or tenant gives.
-  std::unordered_map<std::string, std::uint32_t> least_urgent_;
-  bool has_tenants_ = false;  ///< The configuration names some.
-  TimePoint looked_after_{};  ///< When things were last forgotten and inversions looked for.
+  /// Lowest priority (greatest number) of online work that a route or tenant has, by service.
+  std::unordered_map<std::string, std::uint32_t> lowest_priority_;
+  bool has_tenants_ = false;      ///< Whether the configuration has any tenants.
+  TimePoint last_maintenance_{};  ///< Last expiry of old usage and check for inversions.
 };
 
 }  // namespace stoathold
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -13,17 +13,17 @@
 
 namespace asio = boost::asio;
 
-/// A node that has just started knows its configuration after one or two calls to the store, some
-/// 50 ms. A request that comes before waits so long for it: it is refused early enough for another
-/// node to answer it in time.
+/// How long a request waits for the first configuration. A node that has just started has it after
+/// one or two calls to the store, some 50 ms. The limit is short enough for another node to serve
+/// the refused request in time.
 constexpr Duration kConfigurationWait = std::chrono::milliseconds(300);
-/// Between two checks for it.
+/// Interval between checks for the first configuration.
 constexpr Duration kConfigurationPoll = std::chrono::milliseconds(5);
-/// A node that knows no configuration yet, or not whether it is the newest, asks callers to come
-/// back after this time, in seconds.
-constexpr const char* kNotReadyRetrySeconds = "0.3";
+/// Retry-After, in seconds, of a node that has no configuration yet or cannot confirm that its
+/// configuration is the newest.
+constexpr const char* kNotReadyRetryAfter = "0.3";
 
-/// Times to come back are written in hundredths, cut off: they must not come out as too early.
+/// Retry-After is truncated to hundredths of a second; adding one keeps it from being too early.
 constexpr double kRetryRoundingSeconds = 0.01;
 constexpr int kNotFound = 404;
 
@@ -59,15 +59,15 @@
   if (!context_.configuration) co_await wait_for_configuration();
   auto configuration = context_.configuration;
   if (!configuration) {
-    co_await refuse_unready(exchange, "no_configuration");
+    co_await refuse_not_ready(exchange, "no_configuration");
     co_return;
   }
   CallerCheck check = check_caller(*configuration, context_.dialect, exchange);
   if (!check.allowed()) {
     const bool confirmed = co_await context_.confirm_configuration();
     if (!confirmed) {
-      log_unconfirmed(exchange, check);
-      co_await refuse_unready(exchange, "configuration_unconfirmed");
+      log_unconfirmed_denial(exchange, check);
+      co_await refuse_not_ready(exchange, "configuration_unconfirmed");
       co_return;
     }
     configuration = context_.configuration;
@@ -84,14 +84,14 @@
   co_await serve_route(exchange, configuration, check);
 }
 
-asio::awaitable<void> Gateway::refuse_unready(HttpExchange& exchange, const char* reason) {
+asio::awaitable<void> Gateway::refuse_not_ready(HttpExchange& exchange, const char* reason) {
   ++context_.metrics.refusals[reason];
-  std::vector<HttpHeader> headers{{"Retry-After", kNotReadyRetrySeconds}};
+  std::vector<HttpHeader> headers{{"Retry-After", kNotReadyRetryAfter}};
   co_await exchange.respond(503, "application/json", R"({"error":"not_ready"})",
                             std::move(headers));
 }
 
-void Gateway::log_unconfirmed(const HttpExchange& exchange, const CallerCheck& check) {
+void Gateway::log_unconfirmed_denial(const HttpExchange& exchange, const CallerCheck& check) {
   const ConfigurationPosition position = context_.configuration_position();
   log_event(Event::kDenialUnconfirmed,
             {{"request", std::string(exchange.header(context_.dialect.request_id))},
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,5 +1,5 @@
 /// @file
-/// Takes callers' requests: finds the route, serves it, keeps count for a planned stop.
+/// Entry point of callers' requests: access checks, limits, dispatch to online or batch handling.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -12,24 +12,26 @@
 
 namespace stoathold {
 
-/// Serves requests of routes that take batch jobs.
+/// Handles requests of batch routes.
 using BatchSubmissionHandler = std::function<boost::asio::awaitable<void>(
     HttpExchange&, std::shared_ptr<const ServingConfiguration>, const Route&, const Caller&)>;
 
-/// The entrance for callers. Used on one thread; outlives all requests.
+/// Request handler of the gateway. Not thread-safe; must outlive all requests.
 class Gateway {
  public:
   Gateway(GatewayContext& context, BatchSubmissionHandler submit_batch);
 
-  /// Serves one request.
+  /// Serves one request, waiting for the first configuration if necessary.
   boost::asio::awaitable<void> serve(HttpExchange& exchange);
 
  private:
   boost::asio::awaitable<void> wait_for_configuration();
-  /// Refuses for now what may be served soon, here or at another node.
-  boost::asio::awaitable<void> refuse_unready(HttpExchange& exchange, const char* reason);
-  /// A request that the configuration in force denies was refused for now instead.
-  void log_unconfirmed(const HttpExchange& exchange, const CallerCheck& check);
+  /// Refuses with 503 and Retry-After a request that this or another node may be able to serve
+  /// soon.
+  boost::asio::awaitable<void> refuse_not_ready(HttpExchange& exchange, const char* reason);
+  /// Logs that a denied request got a temporary refusal, since the configuration that denies it
+  /// could not be confirmed as the newest.
+  void log_unconfirmed_denial(const HttpExchange& exchange, const CallerCheck& check);
   boost::asio::awaitable<void> serve_route(
       HttpExchange& exchange, std::shared_ptr<const ServingConfiguration> configuration,
       const CallerCheck& check);
@@ -39,7 +41,8 @@
   boost::asio::awaitable<void> refuse_over_limit(HttpExchange& exchange,
                                                  const ServingConfiguration& configuration,
                                                  const CallerCheck& check, Duration retry_after);
-  /// Counts a request towards its tenant's limit. @param tenant null: anonymous, without a limit.
+  /// Counts a request towards its tenant's rate limit.
+  /// @param tenant null for an anonymous caller, which has no limit.
   [[nodiscard]] AdmissionDecision admit(const Tenant* tenant);
 
   GatewayContext& context_;
--- a/src/gateway/gateway_context.h
+++ b/src/gateway/gateway_context.h
@@ -1,5 +1,5 @@
 /// @file
-/// What every request of the gateway shares.
+/// State that all requests of the gateway share.
 #pragma once
 
 #include <functional>
@@ -29,7 +29,7 @@
 
 namespace stoathold {
 
-/// State of one gateway process. Owned by the program, outlives all requests; one thread.
+/// State of one gateway process. Owned by the program; outlives all requests. Not thread-safe.
 struct GatewayContext {
   GatewayContext(boost::asio::any_io_executor executor_in, HeaderDialect dialect_in,
                  std::string zone_in,
@@ -43,11 +43,11 @@
         pool(executor, dialect),
         quarantine([this](std::uint64_t runner) { return runners.last_heard(runner); }) {
     quarantine.set_change_listener([this] { placement.drop_hopeless(); });
-    shares.add_to(placement.decisions());
+    shares.register_with(placement.decisions());
   }
 
-  /// Returns the predicate of choices between runners: whether an idle connection to it is kept.
-  /// @param longest_rest for which it may have rested.
+  /// Returns a predicate for runner selection: whether the pool has an idle connection to a runner.
+  /// @param max_idle_time longest idle time of such a connection.
   [[nodiscard]] std::function<bool(const Runner&)> connected(
       Duration max_idle_time = Duration::max()) const {
     return [this, max_idle_time](const Runner& runner) {
@@ -55,66 +55,66 @@
     };
   }
 
-  /// Returns what choices between runners may know of the times of answers; null: nothing.
+  /// Returns the model of response times for runner selection; null if the policy does not use it.
   [[nodiscard]] const SpeedModel* known_speeds() const {
     return load_policy.knows_speeds ? &speeds : nullptr;
   }
 
-  /// A configuration is in force: takes the tenants' limits and shares from it.
+  /// Applies the tenants' limits and shares of a new configuration.
   void set_tenants(const ServingConfiguration& next) {
     tenant_limits.set_tenants(next.tenants, monotonic_now());
     shares.configure(next);
   }
 
-  /// Returns where this node stands in the log of the configuration.
+  /// Returns the position of this node in the configuration log.
   [[nodiscard]] ConfigurationPosition configuration_position() const {
     return confirmation == nullptr ? ConfigurationPosition() : confirmation->position();
   }
 
-  /// Whether the configuration that is in force afterwards is the newest, so that callers may be
-  /// denied by it.
+  /// Returns whether the configuration that is in force when this completes is confirmed as the
+  /// newest. Only a confirmed configuration may deny access to callers.
   boost::asio::awaitable<bool> confirm_configuration() {
     if (confirmation == nullptr) co_return true;
     const bool confirmed = co_await confirmation->confirm();
     co_return confirmed;
   }
 
-  /// The deployment shows something else of itself: a configuration is in force, or a runner has
-  /// reported its slowness.
+  /// Updates the load policy after a change of the deployment's traits, such as a new configuration
+  /// or the first runner that reports its slowness.
   void set_traits(const DeploymentTraits& next) {
     traits = next;
     load_policy = load_policy_for(traits);
     runners.set_lending(load_policy.lends_slots);
   }
 
-  /// Of the process. Shared with whoever owns the event loop, which outlives this: coroutines that
-  /// still wait when the loop ends give back what they hold.
+  /// Memory budget of the process. Shared with the owner of the event loop, which outlives this:
+  /// coroutines that are still suspended when the loop is destroyed release their reservations.
   const std::shared_ptr<MemoryBudget> memory;
   boost::asio::any_io_executor executor;
   HeaderDialect dialect;
   std::string zone;
-  /// What stands for this process where nodes are to choose differently.
+  /// Random id of this process; selection uses it so that different nodes choose different runners.
   std::uint64_t node = process_random().next();
-  std::shared_ptr<const ServingConfiguration> configuration;  ///< Null until the first is known.
-  /// Confirms that the configuration in force is the newest; null: nothing can replace it.
+  std::shared_ptr<const ServingConfiguration> configuration;  ///< Null until the first is loaded.
+  /// Confirms that the configuration in force is the newest; null if it cannot change.
   ConfigurationConfirmation* confirmation = nullptr;
   DeploymentTraits traits;
-  LoadPolicy load_policy;  ///< Decisions for hard load that are on.
+  LoadPolicy load_policy;  ///< Overload policies that are enabled.
   RunnerRegistry runners;
   TrafficSplit split;
   PlacementQueue placement;
   OnlineAdmission admission;
-  BatchTurns batch_turns;  ///< Of the nodes of the zone.
+  BatchTurns batch_turns;  ///< Shared by the nodes of the zone.
   FairShares shares{load_policy};
   UpstreamPool pool;
   Quarantine quarantine;
   GatewayMetrics metrics;
   StartProgress start_progress{monotonic_now()};
   TenantLimits tenant_limits;
-  DurationsByRoute first_event_times;  ///< From the sending of a request to its first event.
-  AnswerPace answer_pace;              ///< Of batch items.
-  SpeedModel speeds;                   ///< Of all routes at runners of all services.
-  TimePoint false_slowness_logged{};   ///< When a false figure was last logged.
+  DurationsByRoute first_event_times;      ///< From sending a request to its first event.
+  AnswerPace answer_pace;                  ///< Of batch items.
+  SpeedModel speeds;                       ///< Of all routes at runners of all services.
+  TimePoint invalid_slowness_logged_at{};  ///< Last log event of an invalid report.
 };
 
 }  // namespace stoathold
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -17,11 +17,11 @@
 }
 
 void GatewayMetrics::count_tenant_request(const std::string& tenant, const std::string& decision) {
-  // Some hundred lines of the metrics page.
+  // Bounds the metrics page to some hundred lines for tenants.
   constexpr std::size_t kMaxRows = 200;
   const auto row = std::pair(tenant, decision);
-  const bool room = tenant_requests.size() < kMaxRows || tenant_requests.contains(row);
-  ++tenant_requests[room ? row : std::pair(std::string("other"), decision)];
+  const bool has_row = tenant_requests.size() < kMaxRows || tenant_requests.contains(row);
+  ++tenant_requests[has_row ? row : std::pair(std::string("other"), decision)];
 }
 
 }  // namespace stoathold
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -1,5 +1,5 @@
 /// @file
-/// Counters of the gateway, read by the metrics page.
+/// Counters of the gateway for the metrics page.
 #pragma once
 
 #include <array>
@@ -13,10 +13,10 @@
 
 namespace stoathold {
 
-/// Counts durations into buckets with fixed bounds.
+/// Histogram of durations with fixed bucket bounds.
 class LatencyHistogram {
  public:
-  /// Upper bounds of the buckets in milliseconds; a last one without bound follows.
+  /// Upper bounds of the buckets in milliseconds; an unbounded bucket follows.
   static constexpr std::array<double, 12> kBoundsMs{5,   10,  20,  50,   100,  200,
                                                     300, 500, 800, 1200, 2000, 5000};
 
@@ -31,35 +31,36 @@
   double sum_seconds_ = 0;
 };
 
-/// Counters of one process since its start. Used on one thread.
+/// Counters of one process since its start. Not thread-safe.
 struct GatewayMetrics {
   std::map<std::pair<std::string, std::string>, std::uint64_t> requests;  ///< Route kind, outcome.
   std::map<std::string, std::uint64_t> attempts;                          ///< By outcome.
   std::map<std::string, std::uint64_t> refusals;                          ///< By reason.
   std::map<std::string, std::uint64_t> store_calls;                       ///< By outcome.
-  std::map<std::string, std::uint64_t> batch_items;                       ///< By outcome of a run.
-  /// Entries of the runner directory that named no runner, by reason.
+  std::map<std::string, std::uint64_t> batch_items;  ///< By outcome of an attempt.
+  /// Invalid entries of the runner directory, by reason.
   std::map<std::string, std::uint64_t> refused_runner_entries;
-  /// Requests by tenant and by whether they were admitted; a bounded number of tenants.
+  /// Requests by tenant and admission decision, for a bounded number of tenants.
   std::map<std::pair<std::string, std::string>, std::uint64_t> tenant_requests;
-  /// What was done since room for callers was short, by kind.
+  /// Actions taken because memory or connections for callers were short, by kind.
   std::map<std::string, std::uint64_t> shortages;
-  std::uint64_t cut_off_bytes = 0;  ///< Held for callers that were cut off.
+  std::uint64_t cut_off_bytes =
+      0;  ///< Bytes that were buffered for callers that were disconnected.
   std::uint64_t resumes = 0;
   std::uint64_t requests_open = 0;
-  LatencyHistogram first_event;    ///< From a request's arrival to the first byte of its answer.
+  LatencyHistogram first_event;    ///< From a request's arrival to the first byte of its response.
   LatencyHistogram store_latency;  ///< Of calls to the store that do not wait for records.
   StoreTraffic store_traffic;      ///< By call and topic.
-  LatencyHistogram event_gap;      ///< Between two pieces of a stream.
-  /// From the sending of an online request to its first event, as predicted when its runner was
-  /// chosen and as it came; empty unless runners are chosen by predicted times.
+  LatencyHistogram event_gap;      ///< Between two writes of events to the caller of a stream.
+  /// Time from sending an online request to its first event, as predicted when its runner was
+  /// selected and as observed; empty unless runners are selected by predicted times.
   LatencyHistogram first_event_expected;
   LatencyHistogram first_event_observed;
 
   /// Counts a call to the store.
   void count_store_call(const StoreCall& call);
-  /// Counts a request of a tenant. Once there are many tenants, further ones count together, so
-  /// that the metrics page stays bounded.
+  /// Counts a request of a tenant. Tenants beyond a bound are counted together, which bounds the
+  /// size of the metrics page.
   void count_tenant_request(const std::string& tenant, const std::string& decision);
 };
 
--- a/src/gateway/metrics_page.cc
+++ b/src/gateway/metrics_page.cc
@@ -231,7 +231,7 @@
   for (const TenantShareRow& row : shares.tenant_rows(monotonic_now())) {
     ClientMetric metric;
     metric.label = {make_label("service", row.service), make_label("tenant", row.tenant)};
-    metric.counter.value = row.given_seconds;
+    metric.counter.value = row.granted_seconds;
     given.metric.push_back(metric);
     metric.gauge.value = row.waiting_seconds;
     waiting.metric.push_back(metric);
--- a/src/gateway/online_outcome.cc
+++ b/src/gateway/online_outcome.cc
@@ -46,7 +46,7 @@
     // Complete events that arrived before the failure are delivered.
     if (!stopped_) co_await exchange_.flush();
     exchange_.abort();
-    if (!stopped_) outcome_ = RequestOutcome::kTruncated;
+    if (!stopped_) outcome_ = RequestOutcome::kIncomplete;
     co_return;
   }
   if (stopped_ && outcome_ == RequestOutcome::kCallerDisconnected) co_return;
--- a/src/gateway/online_request.cc
+++ b/src/gateway/online_request.cc
@@ -55,7 +55,7 @@
       return "refused";
     case RequestOutcome::kFailed:
       return "failed";
-    case RequestOutcome::kTruncated:
+    case RequestOutcome::kIncomplete:
       return "broken_off";
     case RequestOutcome::kTimedOut:
       return "timed_out";
--- a/src/gateway/online_request.h
+++ b/src/gateway/online_request.h
@@ -25,7 +25,7 @@
   kServed,              ///< The runner's complete response was relayed, whatever its status.
   kRefused,             ///< Not run; the caller may retry.
   kFailed,              ///< It may have run, and no response was sent.
-  kTruncated,           ///< The response ended early.
+  kIncomplete,          ///< The response ended early.
   kTimedOut,            ///< The deadline passed.
   kCallerDisconnected,  ///< The caller closed its connection.
 };
--- a/src/gateway/speed_reports.cc
+++ b/src/gateway/speed_reports.cc
@@ -66,8 +66,8 @@
 
 void take_slowness(GatewayContext& context, Runner& runner, const LoadReport& report,
                    TimePoint now) {
-  if (report.false_slowness && now - context.false_slowness_logged >= kFalseFigurePause) {
-    context.false_slowness_logged = now;
+  if (report.false_slowness && now - context.invalid_slowness_logged_at >= kFalseFigurePause) {
+    context.invalid_slowness_logged_at = now;
     log_event(Event::kSlownessRefused, {{"runner", runner.record().id},
                                         {"least_percent", std::to_string(kLeastSlownessPercent)},
                                         {"most_percent", std::to_string(kMostSlownessPercent)}});
--- a/tests/gateway/fair_shares_test.cc
+++ b/tests/gateway/fair_shares_test.cc
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A node's shares, with a service that one route of priority 0 and one of priority 1 use.
+/// Fair shares of one node; a service has online routes of the priorities 0 and 1.
 class FairSharesTest : public testing::Test {
  protected:
   FairSharesTest() {
@@ -22,7 +22,7 @@
     configuration.tenants = TenantDirectory(
         {{"alder", {"a"}, {}, {10, 5}}, {"birch", {"b"}, {}, {30, 5}}, {"cedar", {"c"}, {}, {}}});
     shares.configure(configuration);
-    shares.add_to(decisions);
+    shares.register_with(decisions);
   }
   static Route route(const std::string& name, std::uint32_t priority, RouteKind kind) {
     Route result;
@@ -60,7 +60,7 @@
   PlacementDecisions decisions;
 };
 
-TEST_F(FairSharesTest, ATenantsLimitIsItsWeight) {
+TEST_F(FairSharesTest, WeighsTenantsByTheirRateLimits) {
   serve("alder", 20);
   serve("birch", 60);
   EXPECT_EQ(turn("alder"), 0);
@@ -70,17 +70,17 @@
   EXPECT_EQ(turn("birch"), 0);
 }
 
-TEST_F(FairSharesTest, WithoutThePolicyAllTurnsAreAlikeAndNothingIsReported) {
+TEST_F(FairSharesTest, WithoutThePolicyTurnsAreEqualAndNothingIsReported) {
   policy.shares_fairly = false;
   serve("alder", 60);
   serve("birch", 1);
   EXPECT_EQ(turn("alder"), 0);
   LoadDigest digest;
-  shares.report(digest, true, now);
+  shares.add_to_digest(digest, true, now);
   EXPECT_TRUE(digest.share_uses.empty());
 }
 
-TEST_F(FairSharesTest, OnlyTheLeastUrgentOnlineWorkYieldsToOtherNodes) {
+TEST_F(FairSharesTest, OnlyOnlineWorkOfTheLowestPriorityYieldsToOtherNodes) {
   PlacementRequest above = request("alder", 1);
   above.turn = 3;
   EXPECT_TRUE(decisions.yields(above));
@@ -95,28 +95,28 @@
   EXPECT_FALSE(decisions.yields(batch));
 }
 
-TEST_F(FairSharesTest, UseAtAnotherNodeCounts) {
+TEST_F(FairSharesTest, CountsUsageReportedByOtherNodes) {
   LoadPolicy on;
   on.shares_fairly = true;
   FairShares other(on);
-  PlacementDecisions others;
-  other.add_to(others);
+  PlacementDecisions other_decisions;
+  other.register_with(other_decisions);
   LoadDigest digest;
   digest.sender = 7;
-  other.report(digest, true, now);
-  shares.take(digest, now);
+  other.add_to_digest(digest, true, now);
+  shares.apply_digest(digest, now);
   serve("birch", 3);
-  others.placed(request("birch"), now);
-  other.report(digest, true, now);
-  shares.take(digest, now);  // The first report of a node is the past.
-  for (int i = 0; i < 60; ++i) others.placed(request("alder"), now);
-  other.report(digest, true, now);
-  shares.take(digest, now);
+  other_decisions.placed(request("birch"), now);
+  other.add_to_digest(digest, true, now);
+  shares.apply_digest(digest, now);  // The first report of a node is only a baseline.
+  for (int i = 0; i < 60; ++i) other_decisions.placed(request("alder"), now);
+  other.add_to_digest(digest, true, now);
+  shares.apply_digest(digest, now);
   EXPECT_GE(turn("alder"), 1);
   EXPECT_EQ(turn("birch"), 0);
 }
 
-TEST_F(FairSharesTest, BatchAndOnlineWorkHaveSharesOfTheirOwn) {
+TEST_F(FairSharesTest, BatchAndOnlineWorkHaveSeparateShares) {
   PlacementRequest item = request("alder");
   item.work = WorkClass::kBatch;
   item.slot_time = seconds(5);
@@ -125,23 +125,23 @@
   EXPECT_EQ(turn("alder"), 0);
 }
 
-TEST_F(FairSharesTest, MetricsTellWhatWaitsAndWhatWasGiven) {
+TEST_F(FairSharesTest, MetricsShowWaitingAndGrantedSlotTime) {
   serve("alder", 2);
   decisions.turn(request("alder"), now);
   const auto rows = shares.tenant_rows(now);
   ASSERT_EQ(rows.size(), 1U);
   EXPECT_EQ(rows[0].tenant, "alder");
-  EXPECT_NEAR(rows[0].given_seconds, 1.4, 0.001);
+  EXPECT_NEAR(rows[0].granted_seconds, 1.4, 0.001);
   EXPECT_NEAR(rows[0].waiting_seconds, 0.7, 0.001);
   EXPECT_NEAR(rows[0].over_part, 1, 0.001);
 }
 
-TEST_F(FairSharesTest, MetricsOfManyTenantsStayBounded) {
+TEST_F(FairSharesTest, BoundsTheMetricsOfManyTenants) {
   for (int tenant = 0; tenant < 1000; ++tenant) serve("tenant" + std::to_string(tenant), 1);
   EXPECT_LE(shares.tenant_rows(now).size(), 201U);
 }
 
-TEST_F(FairSharesTest, KindsAreCountedByHowTheirWaitEnded) {
+TEST_F(FairSharesTest, CountsKindsByTheOutcomeOfTheirWaits) {
   serve("alder", 2);
   decisions.left(request("alder"), now);
   ASSERT_EQ(shares.kinds().kinds().size(), 1U);
--- a/tests/gateway/tenant_access_test.cc
+++ b/tests/gateway/tenant_access_test.cc
@@ -1,4 +1,4 @@
-// Keys, tenants and limits at the gateway: who is served, what a runner is shown, what is refused.
+// API keys, tenants and rate limits at the gateway: access decisions and headers sent to runners.
 #include <gtest/gtest.h>
 
 #include "gateway/gateway.h"
@@ -11,7 +11,7 @@
 constexpr const char* kHost = "a.example";
 constexpr const char* kKey = "key-of-alder";
 
-/// A gateway on loopback before one runner with one place; two tenants.
+/// A gateway on loopback with one runner that has one slot, and two tenants.
 class TenantAccessTest : public testing::Test {
  protected:
   TenantAccessTest()
@@ -74,23 +74,23 @@
   HttpServer server;
 };
 
-TEST_F(TenantAccessTest, AnUnknownKeyIsRefusedAndReachesNoRunner) {
+TEST_F(TenantAccessTest, RefusesUnknownKeysWithoutReachingARunner) {
   EXPECT_EQ(ask("/x/1", "wrong").status, 401);
   EXPECT_EQ(ask("/x/1", "").status, 401);
   EXPECT_TRUE(runner.requests.empty());
 }
 
-TEST_F(TenantAccessTest, OnlyAKnownKeyLearnsThatARouteIsNotThere) {
+TEST_F(TenantAccessTest, RespondsNotFoundOnlyToKnownKeys) {
   EXPECT_EQ(ask("/y/1", kKey).status, 404);
   EXPECT_EQ(ask("/y/1", "wrong").status, 401);
 }
 
-TEST_F(TenantAccessTest, WithoutAConfigurationNothingIsSaidAboutKeys) {
+TEST_F(TenantAccessTest, WithoutAConfigurationRespondsUnavailableToAnyKey) {
   context.configuration.reset();
   EXPECT_EQ(ask("/x/1", "wrong").status, 503);
 }
 
-TEST_F(TenantAccessTest, TheRunnerSeesTheTenantAndNeverTheKey) {
+TEST_F(TenantAccessTest, ForwardsTheTenantButNotTheKey) {
   EXPECT_EQ(ask("/x/1", "second-key").status, 200);
   ASSERT_EQ(runner.requests.size(), 1U);
   EXPECT_NE(runner.requests[0].find("X-Tenant: alder"), std::string::npos);
@@ -98,26 +98,26 @@
   EXPECT_EQ(runner.requests[0].find("second-key"), std::string::npos);
 }
 
-TEST_F(TenantAccessTest, AnonymousAccessNeedsNoKeyAndClaimsNoTenant) {
+TEST_F(TenantAccessTest, AnonymousAccessNeedsNoKeyAndForwardsNoTenant) {
   EXPECT_EQ(ask("/open/1", "").status, 200);
   ASSERT_EQ(runner.requests.size(), 1U);
   EXPECT_EQ(runner.requests[0].find("X-Tenant"), std::string::npos);
 }
 
-TEST_F(TenantAccessTest, AKeyThatIsTakenAwayIsRefusedOnAKeptConnectionToo) {
+TEST_F(TenantAccessTest, RefusesARevokedKeyOnAnExistingConnection) {
   EXPECT_EQ(ask("/x/1", kKey).status, 200);
   configure({{"alder", {"second-key"}, {}, {}}});
   EXPECT_EQ(ask("/x/1", kKey).status, 401);
   EXPECT_EQ(ask("/x/1", "second-key").status, 200);
 }
 
-TEST_F(TenantAccessTest, TheLastKeyOfATenantCanBeTakenAway) {
+TEST_F(TenantAccessTest, TheLastKeyOfATenantCanBeRevoked) {
   configure({{"alder", {}, {}, {}}, {"birch", {"key-of-birch"}, {}, {}}});
   EXPECT_EQ(ask("/x/1", kKey).status, 401);
   EXPECT_EQ(ask("/x/1", "key-of-birch").status, 200);
 }
 
-TEST_F(TenantAccessTest, AKeyTakenAwayWhileTheRequestWaitsReachesNoRunner) {
+TEST_F(TenantAccessTest, ARequestWhoseKeyIsRevokedWhileItWaitsReachesNoRunner) {
   const auto full = context.runners.all().at("r1");
   full->begin_attempt();
   boost::asio::steady_timer timer(loop, std::chrono::milliseconds(60));
@@ -131,13 +131,13 @@
   EXPECT_EQ(full->in_flight(), 0U);
 }
 
-TEST_F(TenantAccessTest, MoreThanTheLimitIsRefusedWithATimeToComeBack) {
+TEST_F(TenantAccessTest, RefusesRequestsOverTheLimitWithRetryAfter) {
   context.tenant_limits.node_heard(7, monotonic_now());
   configure({{"alder", {kKey}, {}, {0.01, 1}}});
   EXPECT_EQ(ask("/x/1", kKey).status, 200);
   const HttpReply refused = ask("/x/1", kKey);
   EXPECT_EQ(refused.status, 429);
-  // One request in 100 s; the caller that comes back then is admitted.
+  // The limit is one request in 100 s, so a retry after that time is admitted.
   const double retry_after = std::stod(std::string(refused.header("Retry-After")));
   EXPECT_GT(retry_after, 90);
   EXPECT_LE(retry_after, 101);
@@ -145,14 +145,14 @@
   EXPECT_EQ((context.metrics.tenant_requests[{"alder", "refused"}]), 1U);
 }
 
-TEST_F(TenantAccessTest, WhatWasNeverRunDoesNotCountAgainstTheLimit) {
+TEST_F(TenantAccessTest, RequestsThatWereNotRunDoNotCountAgainstTheLimit) {
   configure({{"alder", {kKey}, {}, {0.01, 1}}});
   context.runners.remove("r1");
   EXPECT_EQ(ask("/x/1", kKey).status, 503);
   EXPECT_EQ(ask("/x/1", kKey).status, 503);
 }
 
-TEST_F(TenantAccessTest, ATenantsPriorityGoesBeforeThatOfTheRoute) {
+TEST_F(TenantAccessTest, ATenantsPriorityOverridesThatOfTheRoute) {
   configure({{"alder", {kKey}, 3, {}}});
   const auto check_of = [&](const std::string& key) {
     return context.configuration->tenants.identify(key, false).tenant->priority;
