--- a/src/gateway/answer_pace.cc
+++ b/src/gateway/answer_pace.cc
@@ -19,52 +19,53 @@
 
 }  // namespace
 
-AnswerPace::Pace& AnswerPace::pace_of(std::uint64_t route) {
-  return paces_.try_emplace(route, Pace{LatencyQuantile(kGapQuantile), {}, false, {}})
+ResponseDurationEstimator::RouteEstimate& ResponseDurationEstimator::estimate_for(
+    std::uint64_t route) {
+  return estimates_.try_emplace(route, RouteEstimate{LatencyQuantile(kGapQuantile), {}, false, {}})
       .first->second;
 }
 
-void AnswerPace::observe_gap(const std::string& route, Duration gap) {
-  pace_of(stable_hash(route)).gap.observe(gap);
+void ResponseDurationEstimator::observe_gap(const std::string& route, Duration gap) {
+  estimate_for(stable_hash(route)).gap.observe(gap);
 }
 
-void AnswerPace::observe_answer(const std::string& route, TokenCount max_tokens,
-                                EventCount events) {
+void ResponseDurationEstimator::observe_answer(const std::string& route, TokenCount max_tokens,
+                                               EventCount events) {
   if (max_tokens.value == 0 || events.value == 0) return;
-  Pace& pace = pace_of(stable_hash(route));
+  RouteEstimate& entry = estimate_for(stable_hash(route));
   const double sample = static_cast<double>(max_tokens.value) / static_cast<double>(events.value);
-  double& mean = pace.tokens_per_event.value;
-  mean = pace.local ? mean + kMeanSmoothing * (sample - mean) : sample;
-  pace.local = true;
+  double& mean = entry.tokens_per_event.value;
+  mean = entry.local ? mean + kMeanSmoothing * (sample - mean) : sample;
+  entry.local = true;
 }
 
-Duration AnswerPace::expected_rest(const std::string& route, TokenCount max_tokens,
-                                   EventCount events) const {
-  const auto found = paces_.find(stable_hash(route));
-  if (found == paces_.end() || !found->second.tokens_per_event.known()) return Duration{0};
-  const Pace& pace = found->second;
-  const Duration local_gap = pace.gap.value();
-  const Duration gap = local_gap.count() > 0 ? local_gap : pace.reported_gap;
+Duration ResponseDurationEstimator::expected_rest(const std::string& route, TokenCount max_tokens,
+                                                  EventCount events) const {
+  const auto found = estimates_.find(stable_hash(route));
+  if (found == estimates_.end() || !found->second.tokens_per_event.known()) return Duration{0};
+  const RouteEstimate& entry = found->second;
+  const Duration local_gap = entry.gap.value();
+  const Duration gap = local_gap.count() > 0 ? local_gap : entry.reported_gap;
   const double remaining_events =
-      pace.tokens_per_event.events_of(max_tokens) - static_cast<double>(events.value);
+      entry.tokens_per_event.events_of(max_tokens) - static_cast<double>(events.value);
   return scale(gap, std::max(0.0, remaining_events));
 }
 
-std::vector<RoutePace> AnswerPace::learned() const {
+std::vector<RoutePace> ResponseDurationEstimator::learned() const {
   std::vector<RoutePace> reports;
-  for (const auto& [route, pace] : paces_) {
-    if (!pace.local || reports.size() >= kMaxReportedRoutes) continue;
-    const double tokens = std::min(kMaxReportedTokens, pace.tokens_per_event.value);
-    reports.push_back({route, static_cast<std::uint32_t>(pace.gap.value().count()),
+  for (const auto& [route, entry] : estimates_) {
+    if (!entry.local || reports.size() >= kMaxReportedRoutes) continue;
+    const double tokens = std::min(kMaxReportedTokens, entry.tokens_per_event.value);
+    reports.push_back({route, static_cast<std::uint32_t>(entry.gap.value().count()),
                        static_cast<std::uint16_t>(tokens * kReportUnit)});
   }
   return reports;
 }
 
-void AnswerPace::take(const RoutePace& reported) {
-  Pace& pace = pace_of(reported.route);
-  pace.reported_gap = Duration(reported.event_gap_us);
-  if (!pace.local) pace.tokens_per_event.value = reported.tokens_per_event_16ths / kReportUnit;
+void ResponseDurationEstimator::take(const RoutePace& report) {
+  RouteEstimate& entry = estimate_for(report.route);
+  entry.reported_gap = Duration(report.event_gap_us);
+  if (!entry.local) entry.tokens_per_event.value = report.tokens_per_event_16ths / kReportUnit;
 }
 
 }  // namespace stoathold
--- a/src/gateway/answer_pace.h
+++ b/src/gateway/answer_pace.h
@@ -18,7 +18,7 @@
 /// Estimates the remaining duration of responses by route, since requests of one route are alike.
 /// It learns from the responses that pass through this node and uses the reports of other nodes for
 /// routes of which it has seen none. Not thread-safe.
-class AnswerPace {
+class ResponseDurationEstimator {
  public:
   /// Records the event gap of a part of a response.
   /// @param gap mean time from one event to the next.
@@ -36,18 +36,18 @@
   /// Returns the estimates that this node has learned itself, for reports to other nodes.
   [[nodiscard]] std::vector<RoutePace> learned() const;
   /// Applies a report of another node; estimates learned here take precedence.
-  void take(const RoutePace& reported);
+  void take(const RoutePace& report);
 
  private:
-  struct Pace {
+  struct RouteEstimate {
     LatencyQuantile gap;
     TokensPerEvent tokens_per_event;
     bool local = false;  ///< A complete response has passed through this node.
     Duration reported_gap{0};
   };
-  Pace& pace_of(std::uint64_t route);
+  RouteEstimate& estimate_for(std::uint64_t route);
 
-  std::map<std::uint64_t, Pace> paces_;  ///< By hash of the route's name.
+  std::map<std::uint64_t, RouteEstimate> estimates_;  ///< By hash of the route's name.
 };
 
 }  // namespace stoathold
--- a/src/gateway/fair_shares.h
+++ b/src/gateway/fair_shares.h
@@ -27,7 +27,7 @@
   std::string tenant;          ///< "other" for tenants beyond the bound on rows.
   double waiting_seconds = 0;  ///< Predicted slot time of the requests that wait at this node.
   double granted_seconds = 0;  ///< Predicted slot time granted by this node since its start.
-  double over_part = 0;  ///< Recent slot time at all nodes divided by the tenant's fair share.
+  double usage_ratio = 0;  ///< Recent slot time at all nodes divided by the tenant's fair share.
 };
 
 /// Orders waiting requests by the fair shares of their tenants and routes while the policy enables
--- a/src/gateway/gateway_context.h
+++ b/src/gateway/gateway_context.h
@@ -112,7 +112,7 @@
   StartProgress start_progress{monotonic_now()};
   TenantLimits tenant_limits;
   DurationsByRoute first_event_times;      ///< From sending a request to its first event.
-  AnswerPace answer_pace;                  ///< Of batch items.
+  ResponseDurationEstimator answer_pace;   ///< Of batch items.
   SpeedModel speeds;                       ///< Of all routes at runners of all services.
   TimePoint invalid_slowness_logged_at{};  ///< Last log event of an invalid report.
 };
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -44,8 +44,7 @@
   std::map<std::pair<std::string, std::string>, std::uint64_t> tenant_requests;
   /// Actions taken because memory or connections for callers were short, by kind.
   std::map<std::string, std::uint64_t> shortages;
-  std::uint64_t cut_off_bytes =
-      0;  ///< Bytes that were buffered for callers that were disconnected.
+  std::uint64_t cut_off_bytes = 0;  ///< Buffered for callers that were disconnected.
   std::uint64_t resumes = 0;
   std::uint64_t requests_open = 0;
   LatencyHistogram first_event;    ///< From a request's arrival to the first byte of its response.
--- a/src/gateway/metrics_page.cc
+++ b/src/gateway/metrics_page.cc
@@ -219,7 +219,7 @@
 
 /// Adds the granted and waiting slot time of tenants and its ratio to their fair shares.
 void add_shares(const FairShares& shares, std::vector<MetricFamily>& families) {
-  MetricFamily given =
+  MetricFamily granted =
       make_family("stoathold_tenant_slot_seconds_total",
                   "Slot time given to tenants by this node, as predicted.", MetricType::Counter);
   MetricFamily waiting =
@@ -232,13 +232,13 @@
     ClientMetric metric;
     metric.label = {make_label("service", row.service), make_label("tenant", row.tenant)};
     metric.counter.value = row.granted_seconds;
-    given.metric.push_back(metric);
+    granted.metric.push_back(metric);
     metric.gauge.value = row.waiting_seconds;
     waiting.metric.push_back(metric);
-    metric.gauge.value = row.over_part;
+    metric.gauge.value = row.usage_ratio;
     usage_ratio.metric.push_back(metric);
   }
-  families.insert(families.end(), {std::move(given), std::move(waiting), std::move(usage_ratio)});
+  families.insert(families.end(), {std::move(granted), std::move(waiting), std::move(usage_ratio)});
 }
 
 MetricFamily waits_by_kind(const KindWatch& kinds) {
--- a/src/gateway/online_admission.cc
+++ b/src/gateway/online_admission.cc
@@ -107,10 +107,10 @@
 }
 
 SlotRoom OnlineAdmission::slot_capacity(const std::string& service, TimePoint now) {
-  CachedCapacity& known = capacity_cache_[service];
-  const bool fresh = known.counted_at != TimePoint{} && now - known.counted_at < kCapacityCacheTtl;
-  if (!fresh) known = {count_slot_capacity(service, now), now};
-  return known.capacity;
+  CachedCapacity& entry = capacity_cache_[service];
+  const bool fresh = entry.counted_at != TimePoint{} && now - entry.counted_at < kCapacityCacheTtl;
+  if (!fresh) entry = {count_slot_capacity(service, now), now};
+  return entry.capacity;
 }
 
 SlotRoom OnlineAdmission::count_slot_capacity(const std::string& service, TimePoint now) const {
@@ -174,9 +174,9 @@
   if (inputs) wait.forecast = inputs->forecast;
   auto reason = review_wait(wait, now);
   if (!reason) return std::nullopt;
-  const RejectionInputs known = inputs.value_or(RejectionInputs{});
-  const auto back = choose_retry_time(request, known, now);
-  if (back) wait.retry_after = back->after;
+  const RejectionInputs known_inputs = inputs.value_or(RejectionInputs{});
+  const auto retry = choose_retry_time(request, known_inputs, now);
+  if (retry) wait.retry_after = retry->after;
   reason = review_wait(wait, now);
   if (!reason) return std::nullopt;
   log_event(Event::kWaitRejected,
@@ -188,22 +188,22 @@
              {"age_ms", milliseconds_text(now - request.arrival)},
              {"due_ms", milliseconds_text(request.due - now)},
              {"last_start_ms", milliseconds_text(request.last_start - now)},
-             {"predicted_ms", inputs ? milliseconds_text(known.forecast.wait) : "unknown"},
-             {"ahead", std::to_string(known.forecast.ahead)},
+             {"predicted_ms", inputs ? milliseconds_text(known_inputs.forecast.wait) : "unknown"},
+             {"ahead", std::to_string(known_inputs.forecast.ahead)},
              {"ahead_here", std::to_string(position.ahead.requests)},
-             {"waiting_peers", std::to_string(known.figures.peers.requests)},
-             {"oldest_report_ms", milliseconds_text(known.figures.oldest_report)},
-             {"slots", std::to_string(known.capacity.zone)},
-             {"of_batch", std::to_string(known.capacity.of_batch)},
-             {"spare_elsewhere", std::to_string(known.capacity.spare_elsewhere)},
-             {"slot_ms", milliseconds_text(known.figures.slot_time.value_or(Duration{0}))},
-             {"arrivals_per_s", decimal_text(known.arrivals_per_second)},
+             {"waiting_peers", std::to_string(known_inputs.figures.peers.requests)},
+             {"oldest_report_ms", milliseconds_text(known_inputs.figures.oldest_report)},
+             {"slots", std::to_string(known_inputs.capacity.zone)},
+             {"of_batch", std::to_string(known_inputs.capacity.of_batch)},
+             {"spare_elsewhere", std::to_string(known_inputs.capacity.spare_elsewhere)},
+             {"slot_ms", milliseconds_text(known_inputs.figures.slot_time.value_or(Duration{0}))},
+             {"arrivals_per_s", decimal_text(known_inputs.arrivals_per_second)},
              {"retry_after_ms", wait.retry_after ? milliseconds_text(*wait.retry_after) : "none"},
-             {"promised", back && back->promised ? "yes" : "no"}});
-  counters_.batch_slots_at_rejections += known.capacity.of_batch;
-  counters_.rejections_with_batch_slots += known.capacity.of_batch > 0 ? 1 : 0;
+             {"promised", retry && retry->promised ? "yes" : "no"}});
+  counters_.batch_slots_at_rejections += known_inputs.capacity.of_batch;
+  counters_.rejections_with_batch_slots += known_inputs.capacity.of_batch > 0 ? 1 : 0;
   ++tenant_counts(request.tenant)[to_string(*reason)];
-  return PlacementRejection{*reason, wait.retry_after, back && back->promised};
+  return PlacementRejection{*reason, wait.retry_after, retry && retry->promised};
 }
 
 void OnlineAdmission::add_reports(LoadDigest& digest, TimePoint now) {
--- a/src/gateway/online_admission.h
+++ b/src/gateway/online_admission.h
@@ -56,9 +56,10 @@
     std::string route;
     std::uint32_t priority = 0;
     Duration hold_time{0};
-    bool completed =
-        false;  ///< Served to the end, so that it is a sample of its route's hold time.
+    /// Whether the request was served to the end; only then is `hold_time` a sample for its route.
+    bool completed = false;
   };
+  /// Records the release and, if the request completed, its hold time.
   void record_slot_release(const SlotRelease& release);
   /// Returns the expected time for which requests of a route hold a slot; 0 if unknown.
   [[nodiscard]] Duration slot_time(const std::string& route) const {
@@ -86,13 +87,12 @@
   struct Counters {
     std::uint64_t retry_advised = 0;  ///< Rejected callers that were sent a time to retry.
     std::uint64_t promised = 0;       ///< Those of them that were promised a slot at that time.
-    std::uint64_t retried =
-        0;  ///< Expected retries, of any node of the zone, that reached this node.
-    std::uint64_t rejections_with_batch_slots =
-        0;  ///< Rejections while batch held slots in the zone.
-    std::uint64_t batch_slots_at_rejections = 0;  ///< Sum of the slots that batch held then.
-    std::map<std::string, TenantStepCounts>
-        tenants;  ///< Bounded; tenants beyond the bound share a row.
+    std::uint64_t retried = 0;  ///< Expected retries, of any node of the zone, that came here.
+    /// Rejections while batch held slots in the zone.
+    std::uint64_t rejections_with_batch_slots = 0;
+    /// Sum of the slots that batch held at these rejections.
+    std::uint64_t batch_slots_at_rejections = 0;
+    std::map<std::string, TenantStepCounts> tenants;  ///< Tenants beyond a bound share a row.
     LatencyHistogram observed_wait;
     LatencyHistogram predicted_wait;  ///< Of requests that found no free slot on arrival.
   };
--- a/src/gateway/online_relay.cc
+++ b/src/gateway/online_relay.cc
@@ -97,8 +97,8 @@
   co_return AttemptResult::kCompleted;
 }
 
-asio::awaitable<bool> OnlineRequest::send_whole_events(Runner& runner, std::string_view bytes,
-                                                       bool& invalid) {
+asio::awaitable<bool> OnlineRequest::send_complete_events(Runner& runner, std::string_view bytes,
+                                                          bool& invalid) {
   invalid = !framer_.feed(bytes);
   std::string events;
   while (!invalid) {
@@ -137,7 +137,7 @@
     if (view.empty()) break;
     bool invalid = false;
     runner.heard(monotonic_now());
-    const bool delivered = co_await send_whole_events(runner, view, invalid);
+    const bool delivered = co_await send_complete_events(runner, view, invalid);
     if (!delivered) co_return AttemptResult::kStopped;
     if (invalid) co_return AttemptResult::kBroken;
     const bool resumable = route_.resumable && runs_ + 1 < route_.max_attempts;
--- a/src/gateway/online_request.cc
+++ b/src/gateway/online_request.cc
@@ -86,10 +86,10 @@
 
 void OnlineRequest::read_request() {
   const HeaderDialect& dialect = context_.dialect;
-  Duration allowed = route_.timeout.count() > 0 ? route_.timeout : kDefaultTimeout;
+  Duration time_limit = route_.timeout.count() > 0 ? route_.timeout : kDefaultTimeout;
   const auto limit_ms = parse_number(exchange_.header(dialect.deadline_ms));
-  if (limit_ms) allowed = std::min<Duration>(allowed, std::chrono::milliseconds(*limit_ms));
-  deadline_ = arrival_ + allowed;
+  if (limit_ms) time_limit = std::min<Duration>(time_limit, std::chrono::milliseconds(*limit_ms));
+  deadline_ = arrival_ + time_limit;
   id_ = std::string(exchange_.header(dialect.request_id));
   last_event_ = parse_number(exchange_.header(dialect.last_event_id));
   const std::string_view connection = exchange_.header("Connection");
@@ -226,18 +226,18 @@
   request.request_id = id_;
   request.max_idle_time = max_idle_time();
   request.headers = forwarded_headers_;
-  const auto left =
+  const auto remaining =
       std::chrono::duration_cast<std::chrono::milliseconds>(deadline_ - monotonic_now());
-  const auto left_ms = std::max<std::int64_t>(1, left.count());
-  request.headers.push_back({dialect.deadline_ms, std::to_string(left_ms)});
+  const auto remaining_ms = std::max<std::int64_t>(1, remaining.count());
+  request.headers.push_back({dialect.deadline_ms, std::to_string(remaining_ms)});
   request.headers.push_back({dialect.expected_instance, runner.record().id});
   if (!caller_.tenant.empty()) request.headers.push_back({dialect.tenant, caller_.tenant});
   if (last_event_) request.headers.push_back({dialect.last_event_id, std::to_string(*last_event_)});
   return request;
 }
 
-void OnlineRequest::start_silence_timeout(Duration patience) {
-  silence_timeout_ = std::max(patience, kMinSilenceTimeout);
+void OnlineRequest::start_silence_timeout(Duration timeout) {
+  silence_timeout_ = std::max(timeout, kMinSilenceTimeout);
   silent_since_ = monotonic_now();
   upstream_->set_deadline(std::min(silent_since_ + silence_timeout_, deadline_));
 }
@@ -257,14 +257,14 @@
 
 /// Until the first event arrives, the request may be waiting in the runner's own queue; batch work
 /// is then asked to release slots of that runner.
-void OnlineRequest::watch_runner_queue(const std::shared_ptr<Runner>& runner, bool again) {
-  runner_queue_timer_.expires_after(PlacementQueue::yield_delay(again));
+void OnlineRequest::watch_runner_queue(const std::shared_ptr<Runner>& runner, bool repeated) {
+  runner_queue_timer_.expires_after(PlacementQueue::yield_delay(repeated));
   runner_queue_timer_.async_wait(
       [weak = weak_from_this(), runner](boost::system::error_code error) {
         const auto self = weak.lock();
         if (error || !self || self->stopped_ || self->stage_ == RunStage::kDelivering) return;
-        const bool asked = self->context_.placement.relieve(*runner);
-        self->watch_runner_queue(runner, asked);
+        const bool requested = self->context_.placement.relieve(*runner);
+        self->watch_runner_queue(runner, requested);
       });
 }
 
--- a/src/gateway/online_request.h
+++ b/src/gateway/online_request.h
@@ -45,6 +45,7 @@
                 std::shared_ptr<const ServingConfiguration> configuration, const Route& route,
                 Caller caller);
 
+  /// Serves the request until its response is sent or it has failed.
   boost::asio::awaitable<RequestOutcome> serve();
 
   /// Returns the number of runners that may have run the request.
@@ -66,8 +67,8 @@
   boost::asio::awaitable<AttemptResult> relay_events(Runner& runner);
   boost::asio::awaitable<void> finish_response();
   boost::asio::awaitable<bool> send_head();
-  boost::asio::awaitable<bool> send_whole_events(Runner& runner, std::string_view bytes,
-                                                 bool& invalid);
+  boost::asio::awaitable<bool> send_complete_events(Runner& runner, std::string_view bytes,
+                                                    bool& invalid);
   boost::asio::awaitable<void> finish_without_response();
   /// The value of the Retry-After header of a refusal.
   enum class RetryAdvice : std::uint8_t {
@@ -104,11 +105,11 @@
     return caller_.priority.value_or(route_.priority);
   }
   void watch_silence(const std::shared_ptr<Runner>& runner);
-  void watch_runner_queue(const std::shared_ptr<Runner>& runner, bool again);
+  void watch_runner_queue(const std::shared_ptr<Runner>& runner, bool repeated);
   void log_choice(const Selection& choice);
   void log_attempt(const Runner& runner, AttemptResult result, UpstreamStatus status);
   void stop(RequestOutcome outcome);
-  void start_silence_timeout(Duration patience);
+  void start_silence_timeout(Duration timeout);
   void record_first_event(Runner& runner);
   void record_event_gap(Runner& runner);
 
--- a/src/gateway/online_wait.cc
+++ b/src/gateway/online_wait.cc
@@ -38,8 +38,8 @@
                        .shared_tokens = prompt_.shared_tokens,
                        .load_limit = kFullLoad,
                        .excluded = tried_runners_};
-  const Duration rest = max_idle_time();
-  if (rest.count() > 0) request.selection.connected = context_.connected(rest);
+  const Duration idle_limit = max_idle_time();
+  if (idle_limit.count() > 0) request.selection.connected = context_.connected(idle_limit);
   request.selection.keep_connections = context_.load_policy.keeps_connections;
   request.selection.node = context_.node;
   request.priority = priority();
@@ -68,9 +68,9 @@
   request.first_event = first_event;
   if (context_.admission.active()) limit_wait(request);
   ticket_ = context_.placement.make_ticket(std::move(request));
-  const TimePoint asked = monotonic_now();
+  const TimePoint wait_start = monotonic_now();
   const auto runner = co_await context_.placement.acquire(ticket_);
-  if (runner) context_.admission.record_wait(monotonic_now() - asked);
+  if (runner) context_.admission.record_wait(monotonic_now() - wait_start);
   tokens_to_read_ = ticket_->selection().tokens_to_read;
   runner_work_ = ticket_->selection().runner_work();
   expected_times_ = ticket_->selection().expected;
--- a/src/gateway/peer_relay.h
+++ b/src/gateway/peer_relay.h
@@ -20,6 +20,7 @@
   /// Returns the addresses (`ip:port`) at which other nodes accept relayed calls.
   using PeerSource = std::function<std::vector<std::string>()>;
 
+  /// @param dialect must outlive this.
   PeerRelay(const boost::asio::any_io_executor& executor, const HeaderDialect& dialect,
             PeerSource peers);
 
--- a/src/gateway/prompt_prefix.cc
+++ b/src/gateway/prompt_prefix.cc
@@ -21,9 +21,10 @@
 
 TokenCount parse_answer_tokens(std::string_view text) {
   take_field(text);
-  const std::string_view answer = take_field(text);
+  const std::string_view response = take_field(text);
   TokenCount tokens;
-  const auto result = std::from_chars(answer.data(), answer.data() + answer.size(), tokens.value);
+  const auto result =
+      std::from_chars(response.data(), response.data() + response.size(), tokens.value);
   return result.ec == std::errc{} ? tokens : TokenCount{};
 }
 
--- a/src/gateway/runner_answer.cc
+++ b/src/gateway/runner_answer.cc
@@ -15,7 +15,7 @@
   const auto report = parse_load(head.header(context.dialect.load));
   if (!report) return;
   runner.take_report(*report, now);
-  take_slowness(context, runner, *report, now);
+  apply_slowness_report(context, runner, *report, now);
 }
 
 bool was_not_run(Runner& runner, const UpstreamHead& head, const HeaderDialect& dialect) {
--- a/src/gateway/speed_reports.cc
+++ b/src/gateway/speed_reports.cc
@@ -66,8 +66,8 @@
 
 }  // namespace
 
-void take_slowness(GatewayContext& context, Runner& runner, const LoadReport& report,
-                   TimePoint now) {
+void apply_slowness_report(GatewayContext& context, Runner& runner, const LoadReport& report,
+                           TimePoint now) {
   if (report.false_slowness &&
       now - context.invalid_slowness_logged_at >= kInvalidSlownessLogInterval) {
     context.invalid_slowness_logged_at = now;
--- a/src/gateway/upstream.h
+++ b/src/gateway/upstream.h
@@ -23,8 +23,7 @@
 enum class UpstreamStatus : std::uint8_t {
   kOk,
   kNotSent,    ///< No connection was made; the runner saw nothing.
-  kBroken,     ///< Connection reset or closed early, or malformed response; the runner may have run
-               ///< it.
+  kBroken,     ///< Reset, closed early or malformed response; the runner may have run it.
   kTimeout,    ///< The deadline passed; the runner may have run it.
   kCancelled,  ///< `cancel` was called.
 };
--- a/tests/gateway/answer_pace_test.cc
+++ b/tests/gateway/answer_pace_test.cc
@@ -7,27 +7,29 @@
 
 using std::chrono::milliseconds;
 
-TEST(AnswerPaceTest, EstimatesFromTokensPerEvent) {
-  AnswerPace pace;
-  pace.observe_gap("drafts", milliseconds(34));
-  pace.observe_answer("drafts", TokenCount{1420}, EventCount{142});
-  EXPECT_EQ(pace.expected_rest("drafts", TokenCount{1420}, EventCount{0}), milliseconds(142 * 34));
-  EXPECT_EQ(pace.expected_rest("drafts", TokenCount{1420}, EventCount{100}), milliseconds(42 * 34));
-  EXPECT_EQ(pace.expected_rest("drafts", TokenCount{1420}, EventCount{150}), milliseconds(0));
+TEST(ResponseDurationEstimatorTest, EstimatesFromTokensPerEvent) {
+  ResponseDurationEstimator estimator;
+  estimator.observe_gap("drafts", milliseconds(34));
+  estimator.observe_answer("drafts", TokenCount{1420}, EventCount{142});
+  EXPECT_EQ(estimator.expected_rest("drafts", TokenCount{1420}, EventCount{0}),
+            milliseconds(142 * 34));
+  EXPECT_EQ(estimator.expected_rest("drafts", TokenCount{1420}, EventCount{100}),
+            milliseconds(42 * 34));
+  EXPECT_EQ(estimator.expected_rest("drafts", TokenCount{1420}, EventCount{150}), milliseconds(0));
 }
 
-TEST(AnswerPaceTest, ExpectsNothingForAnUnknownRoute) {
-  AnswerPace pace;
-  EXPECT_EQ(pace.expected_rest("drafts", TokenCount{1420}, EventCount{0}), Duration{0});
-  pace.observe_gap("drafts", milliseconds(34));
-  EXPECT_EQ(pace.expected_rest("drafts", TokenCount{1420}, EventCount{0}), Duration{0});
+TEST(ResponseDurationEstimatorTest, ExpectsNothingForAnUnknownRoute) {
+  ResponseDurationEstimator estimator;
+  EXPECT_EQ(estimator.expected_rest("drafts", TokenCount{1420}, EventCount{0}), Duration{0});
+  estimator.observe_gap("drafts", milliseconds(34));
+  EXPECT_EQ(estimator.expected_rest("drafts", TokenCount{1420}, EventCount{0}), Duration{0});
 }
 
-TEST(AnswerPaceTest, UsesReportsOfOtherNodesUntilItHasItsOwnData) {
-  AnswerPace first;
+TEST(ResponseDurationEstimatorTest, UsesReportsOfOtherNodesUntilItHasItsOwnData) {
+  ResponseDurationEstimator first;
   first.observe_gap("drafts", milliseconds(34));
   first.observe_answer("drafts", TokenCount{1420}, EventCount{142});
-  AnswerPace second;
+  ResponseDurationEstimator second;
   for (const auto& report : first.learned()) second.take(report);
   EXPECT_EQ(second.expected_rest("drafts", TokenCount{1420}, EventCount{0}),
             milliseconds(142 * 34));
--- a/tests/gateway/fair_shares_test.cc
+++ b/tests/gateway/fair_shares_test.cc
@@ -133,7 +133,7 @@
   EXPECT_EQ(rows[0].tenant, "alder");
   EXPECT_NEAR(rows[0].granted_seconds, 1.4, 0.001);
   EXPECT_NEAR(rows[0].waiting_seconds, 0.7, 0.001);
-  EXPECT_NEAR(rows[0].over_part, 1, 0.001);
+  EXPECT_NEAR(rows[0].usage_ratio, 1, 0.001);
 }
 
 TEST_F(FairSharesTest, BoundsTheMetricsOfManyTenants) {
--- a/tests/gateway/online_admission_test.cc
+++ b/tests/gateway/online_admission_test.cc
@@ -75,12 +75,12 @@
   overload(5);
   int waits = 0;
   context.placement.decisions().waits = [&waits](const auto&...) { ++waits; };
-  const CallerView answer = ask();
-  EXPECT_EQ(answer.status, 503);
-  EXPECT_NE(answer.body.find("overloaded"), std::string::npos);
+  const CallerView response = ask();
+  EXPECT_EQ(response.status, 503);
+  EXPECT_NE(response.body.find("overloaded"), std::string::npos);
   EXPECT_EQ(waits, 0);
-  ASSERT_FALSE(answer.retry_after.empty());
-  EXPECT_LE(std::stod(answer.retry_after), 5.0 / 3);
+  ASSERT_FALSE(response.retry_after.empty());
+  EXPECT_LE(std::stod(response.retry_after), 5.0 / 3);
   EXPECT_TRUE(runner.requests.empty());
 }
 
@@ -163,9 +163,9 @@
 TEST_F(OnlineAdmissionTest, OmitsRetryAfterIfARetryCannotSucceed) {
   deadline_ms = "200";
   overload(50);
-  const CallerView answer = ask();
-  EXPECT_EQ(answer.status, 503);
-  EXPECT_TRUE(answer.retry_after.empty());
+  const CallerView response = ask();
+  EXPECT_EQ(response.status, 503);
+  EXPECT_TRUE(response.retry_after.empty());
 }
 
 // Callers abandon a stream after 2 s without an event; a request that starts later wastes its slot.
--- a/tests/gateway/online_request_test.cc
+++ b/tests/gateway/online_request_test.cc
@@ -45,8 +45,8 @@
 TEST_F(OnlineRequestTest, AStreamThatBreaksLateWaitsForASlotToResume) {
   configure(RouteKind::kStreaming, true);
   ScriptedAnswer late_break(stream_head() + chunk(event(1)), true);
-  late_break.pause =
-      std::chrono::milliseconds(1700);  // Longer than the wait limit of a new request.
+  // Longer than the wait limit of a new request.
+  late_break.pause = std::chrono::milliseconds(1700);
   ScriptedRunner breaking(loop, {late_break});
   ScriptedRunner resuming(loop, {{stream_head() + chunk(event(2)) + kLastChunk}});
   add_runner(breaking);
--- a/tests/gateway/peer_relay_test.cc
+++ b/tests/gateway/peer_relay_test.cc
@@ -43,7 +43,7 @@
   }
 
   boost::asio::awaitable<void> serve(HttpExchange& exchange) {
-    answer = co_await relay.relay(exchange);
+    response = co_await relay.relay(exchange);
     co_await exchange.respond(200, "text/plain", {});
   }
   void ask() {
@@ -61,7 +61,7 @@
   boost::asio::io_context loop;
   HeaderDialect dialect;
   std::vector<std::string> peers;
-  HttpReply answer;
+  HttpReply response;
   PeerRelay relay;
   HttpServer server;
 };
@@ -71,9 +71,9 @@
   Peer accepting(loop, 202);
   peers = {refusing.server.address(), "127.0.0.1:1", accepting.server.address()};
   ask();
-  EXPECT_EQ(answer.progress, HttpProgress::kAnswered);
-  EXPECT_EQ(answer.status, 202);
-  EXPECT_EQ(answer.body, "from peer");
+  EXPECT_EQ(response.progress, HttpProgress::kAnswered);
+  EXPECT_EQ(response.status, 202);
+  EXPECT_EQ(response.body, "from peer");
   EXPECT_EQ(accepting.calls, 1);
   EXPECT_EQ(accepting.host, "a.example");
   EXPECT_EQ(accepting.body, "the job");
@@ -84,19 +84,19 @@
   Peer refusing(loop, 503);
   peers = {refusing.server.address(), "127.0.0.1:1"};
   ask();
-  EXPECT_EQ(answer.progress, HttpProgress::kNotSent);
+  EXPECT_EQ(response.progress, HttpProgress::kNotSent);
 }
 
 TEST_F(PeerRelayTest, ReportsNotSentWithoutOtherNodes) {
   ask();
-  EXPECT_EQ(answer.progress, HttpProgress::kNotSent);
+  EXPECT_EQ(response.progress, HttpProgress::kNotSent);
 }
 
 TEST_F(PeerRelayTest, DoesNotTryAnotherNodeAfterAnUnknownOutcome) {
   ScriptedRunner silent(loop, {ScriptedAnswer("", true)});
   peers = {silent.address()};
   ask();
-  EXPECT_EQ(answer.progress, HttpProgress::kSent);
+  EXPECT_EQ(response.progress, HttpProgress::kSent);
 }
 
 }  // namespace
--- a/tests/gateway/scripted_runner.h
+++ b/tests/gateway/scripted_runner.h
@@ -11,7 +11,7 @@
 
 /// Scripted reaction to one request.
 struct ScriptedAnswer {
-  // NOLINTNEXTLINE(google-explicit-constructor): tests list answers as plain texts.
+  // NOLINTNEXTLINE(google-explicit-constructor): tests list responses as plain strings.
   ScriptedAnswer(std::string bytes_in, bool close_in = false, bool reset_in = false,
                  std::string late_bytes_in = {})
       : bytes(std::move(bytes_in)),
@@ -26,13 +26,13 @@
   std::chrono::milliseconds pause{0};  ///< Before closing.
 };
 
-/// Reads each request completely and writes the next scripted answer; the last answer repeats.
-/// `{id}` in an answer is replaced by the request's id.
+/// Reads each request completely and writes the next scripted response; the last response repeats.
+/// `{id}` in a response is replaced by the request's id.
 class ScriptedRunner {
  public:
-  ScriptedRunner(boost::asio::io_context& loop, std::vector<ScriptedAnswer> answers)
+  ScriptedRunner(boost::asio::io_context& loop, std::vector<ScriptedAnswer> responses)
       : acceptor_(loop, {boost::asio::ip::make_address("127.0.0.1"), 0}),
-        answers_(std::move(answers)) {
+        responses_(std::move(responses)) {
     boost::asio::co_spawn(loop, accept(), boost::asio::detached);
   }
 
@@ -54,16 +54,17 @@
     }
   }
 
-  static std::string field(const std::string& head, const std::string& name) {
+  static std::string header_value(const std::string& head, const std::string& name) {
     const std::size_t found = head.find("\r\n" + name + ": ");
     if (found == std::string::npos) return {};
     const std::size_t start = found + name.size() + 4;
     return head.substr(start, head.find("\r\n", start) - start);
   }
 
-  static std::string fill_in(std::string text, const std::string& id) {
-    for (std::size_t at = text.find("{id}"); at != std::string::npos; at = text.find("{id}")) {
-      text.replace(at, 4, id);
+  static std::string insert_id(std::string text, const std::string& id) {
+    for (std::size_t position = text.find("{id}"); position != std::string::npos;
+         position = text.find("{id}")) {
+      text.replace(position, 4, id);
     }
     return text;
   }
@@ -74,7 +75,7 @@
       const std::size_t head_size = co_await boost::asio::async_read_until(
           socket, boost::asio::dynamic_buffer(buffer), "\r\n\r\n", boost::asio::use_awaitable);
       const std::string head = buffer.substr(0, head_size);
-      const std::string length_text = field(head, "Content-Length");
+      const std::string length_text = header_value(head, "Content-Length");
       const std::size_t length = length_text.empty() ? 0 : std::stoul(length_text);
       if (buffer.size() < head_size + length) {
         co_await boost::asio::async_read(
@@ -84,27 +85,27 @@
       }
       requests.push_back(buffer.substr(0, head_size + length));
       buffer.erase(0, head_size + length);
-      const std::size_t index = std::min(next_, answers_.size() - 1);
+      const std::size_t index = std::min(next_, responses_.size() - 1);
       ++next_;
-      const ScriptedAnswer& answer = answers_[index];
+      const ScriptedAnswer& response = responses_[index];
       const std::string bytes =
-          fill_in(answer.bytes + answer.late_bytes, field(head, "X-Request-Id"));
+          insert_id(response.bytes + response.late_bytes, header_value(head, "X-Request-Id"));
       co_await boost::asio::async_write(socket, boost::asio::buffer(bytes),
                                         boost::asio::use_awaitable);
-      if (answer.pause.count() > 0) {
-        boost::asio::steady_timer timer(socket.get_executor(), answer.pause);
+      if (response.pause.count() > 0) {
+        boost::asio::steady_timer timer(socket.get_executor(), response.pause);
         co_await timer.async_wait(boost::asio::use_awaitable);
       }
-      if (answer.reset) {
+      if (response.reset) {
         socket.set_option(boost::asio::socket_base::linger(true, 0));
         socket.close();  // Asio's destructor would reset the linger option.
       }
-      if (answer.close || answer.reset) co_return;
+      if (response.close || response.reset) co_return;
     }
   }
 
   Tcp::acceptor acceptor_;
-  std::vector<ScriptedAnswer> answers_;
+  std::vector<ScriptedAnswer> responses_;
   std::size_t next_ = 0;
 };
 
--- a/tests/gateway/speed_reports_test.cc
+++ b/tests/gateway/speed_reports_test.cc
@@ -26,7 +26,8 @@
   }
   /// Reports the slowness of a runner to the first node, as in a response.
   void report_slowness(int index, std::uint32_t percent, TimePoint when) {
-    take_slowness(first, runner(first, index), {.slots = 8, .slowness_percent = percent}, when);
+    apply_slowness_report(first, runner(first, index), {.slots = 8, .slowness_percent = percent},
+                          when);
   }
   LoadDigest digest(TimePoint when, bool full_digest = false) {
     LoadDigest made;
@@ -42,8 +43,8 @@
 };
 
 TEST_F(SpeedReportsTest, TheFirstValidSlownessEnablesThePolicyAtBothNodes) {
-  take_slowness(first, runner(first, 1), {.slots = 8}, kNow);
-  take_slowness(first, runner(first, 1), {.slots = 8, .false_slowness = true}, kNow);
+  apply_slowness_report(first, runner(first, 1), {.slots = 8}, kNow);
+  apply_slowness_report(first, runner(first, 1), {.slots = 8, .false_slowness = true}, kNow);
   EXPECT_FALSE(first.load_policy.knows_speeds);
   EXPECT_TRUE(digest(kNow).speeds.empty());
   first.set_traits({.has_tenants = true});
--- a/tests/gateway/upstream_test.cc
+++ b/tests/gateway/upstream_test.cc
@@ -99,8 +99,8 @@
 }
 
 TEST_F(UpstreamTest, ATruncatedResponseIsBroken) {
-  const std::string answer = plain_answer("a long body");
-  ScriptedRunner runner(loop, {{answer.substr(0, answer.size() - 3), true}});
+  const std::string response = plain_answer("a long body");
+  ScriptedRunner runner(loop, {{response.substr(0, response.size() - 3), true}});
   EXPECT_EQ(call(runner, "1").status, UpstreamStatus::kBroken);
 }
 
