--- a/src/gateway/answer_pace.cc
+++ b/src/gateway/answer_pace.cc
@@ -7,7 +7,8 @@
 namespace stoathold {
 namespace {
 
-/// Quantile of the event gaps that predictions use, so that runners slower than most are covered.
+/// Quantile of the event gaps that predictions use. It is above the median, since it is not unusual
+/// for a response to come from a runner slower than most.
 constexpr double kGapQuantile = 0.7;
 /// Weight of a new response in the moving average of tokens per event.
 constexpr double kMeanSmoothing = 0.1;
--- a/src/gateway/online_request.cc
+++ b/src/gateway/online_request.cc
@@ -28,7 +28,8 @@
 constexpr int kBusyFactor = 4;
 /// Longest idle time of a pooled connection that is used for a request which may not be repeated.
 /// Runners that close idle connections after less than a second do not announce their timeout; a
-/// connection that was used within this time is not about to be closed for being idle.
+/// connection that was used within this time is not about to be closed for being idle. Longer idle
+/// times are allowed only for requests that may be repeated.
 constexpr Duration kMaxIdleTimeIfUnsafe = std::chrono::milliseconds(200);
 /// Maximum number of runners that a request is sent to before it is refused.
 constexpr std::uint32_t kMaxSends = 6;
