--- a/src/gateway/prompt_prefix.cc
+++ b/src/gateway/prompt_prefix.cc
@@ -7,7 +7,7 @@
 namespace stoathold {
 namespace {
 
-/// Cuts off the text before the next comma, without blanks around it.
+/// Removes the text up to the next comma and returns it without surrounding spaces.
 std::string_view take_field(std::string_view& text) {
   const std::size_t comma = text.find(',');
   std::string_view field = text.substr(0, comma);
@@ -21,9 +21,10 @@
 
 TokenCount parse_answer_tokens(std::string_view text) {
   take_field(text);
-  const std::string_view answer = take_field(text);
+  const std::string_view response = take_field(text);
   TokenCount tokens;
-  const auto result = std::from_chars(answer.data(), answer.data() + answer.size(), tokens.value);
+  const auto result =
+      std::from_chars(response.data(), response.data() + response.size(), tokens.value);
   return result.ec == std::errc{} ? tokens : TokenCount{};
 }
 
--- a/tests/gateway/peer_relay_test.cc
+++ b/tests/gateway/peer_relay_test.cc
@@ -10,7 +10,7 @@
 namespace stoathold {
 namespace {
 
-/// Another node, which answers relayed calls with one status and keeps what it was asked.
+/// Another node, which responds to relayed calls with a fixed status and records the last call.
 struct Peer {
   Peer(boost::asio::io_context& loop, int status)
       : server(loop.get_executor(), "127.0.0.1:0", HttpLimits{},
@@ -21,18 +21,18 @@
     ++calls;
     host = std::string(exchange.header("Host"));
     body = exchange.body();
-    held = !exchange.header("X-Max-Wait-Ms").empty();
+    blocking = !exchange.header("X-Max-Wait-Ms").empty();
     co_await exchange.respond(status, "application/json", "from peer");
   }
 
   int calls = 0;
   std::string host;
   std::string body;
-  bool held = false;
+  bool blocking = false;
   HttpServer server;
 };
 
-/// A node that relays all that it is asked.
+/// A node that relays every call.
 class PeerRelayTest : public testing::Test {
  protected:
   PeerRelayTest()
@@ -43,7 +43,7 @@
   }
 
   boost::asio::awaitable<void> serve(HttpExchange& exchange) {
-    answer = co_await relay.relay(exchange);
+    response = co_await relay.relay(exchange);
     co_await exchange.respond(200, "text/plain", {});
   }
   void ask() {
@@ -61,42 +61,42 @@
   boost::asio::io_context loop;
   HeaderDialect dialect;
   std::vector<std::string> peers;
-  HttpReply answer;
+  HttpReply response;
   PeerRelay relay;
   HttpServer server;
 };
 
-TEST_F(PeerRelayTest, ANodeThatRefusesIsPassedOver) {
+TEST_F(PeerRelayTest, TriesTheNextNodeAfterARefusal) {
   Peer refusing(loop, 503);
   Peer accepting(loop, 202);
   peers = {refusing.server.address(), "127.0.0.1:1", accepting.server.address()};
   ask();
-  EXPECT_EQ(answer.progress, HttpProgress::kAnswered);
-  EXPECT_EQ(answer.status, 202);
-  EXPECT_EQ(answer.body, "from peer");
+  EXPECT_EQ(response.progress, HttpProgress::kAnswered);
+  EXPECT_EQ(response.status, 202);
+  EXPECT_EQ(response.body, "from peer");
   EXPECT_EQ(accepting.calls, 1);
   EXPECT_EQ(accepting.host, "a.example");
   EXPECT_EQ(accepting.body, "the job");
-  EXPECT_FALSE(accepting.held);
+  EXPECT_FALSE(accepting.blocking);
 }
 
-TEST_F(PeerRelayTest, IfAllRefuseNothingWasDone) {
+TEST_F(PeerRelayTest, ReportsNotSentIfAllNodesRefuse) {
   Peer refusing(loop, 503);
   peers = {refusing.server.address(), "127.0.0.1:1"};
   ask();
-  EXPECT_EQ(answer.progress, HttpProgress::kNotSent);
+  EXPECT_EQ(response.progress, HttpProgress::kNotSent);
 }
 
-TEST_F(PeerRelayTest, WithoutOtherNodesNothingWasDone) {
+TEST_F(PeerRelayTest, ReportsNotSentWithoutOtherNodes) {
   ask();
-  EXPECT_EQ(answer.progress, HttpProgress::kNotSent);
+  EXPECT_EQ(response.progress, HttpProgress::kNotSent);
 }
 
-TEST_F(PeerRelayTest, ANodeThatDoesNotAnswerMayHaveDoneItAndNoOtherIsAsked) {
+TEST_F(PeerRelayTest, DoesNotTryAnotherNodeAfterAnUnknownOutcome) {
   ScriptedRunner silent(loop, {ScriptedAnswer("", true)});
   peers = {silent.address()};
   ask();
-  EXPECT_EQ(answer.progress, HttpProgress::kSent);
+  EXPECT_EQ(response.progress, HttpProgress::kSent);
 }
 
 }  // namespace
