--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -5,24 +5,26 @@
 namespace stoathold {
 namespace {
 
-/// A newcomer waits if its predicted wait takes at most this part of the time that it has: the
-/// prediction is a mean, and were all of the time promised, half of those last admitted would be
-/// late. tests/admission/admission_replay_test.cc compares values.
-constexpr double kPromisedPart = 0.8;
-/// Part of the time from arrival to due after which a request has waited too long to be sent away
-/// as if it had just come: a late slot that comes sooner than its return serves its caller better.
-constexpr double kHeldPart = 0.25;
+/// A new request is admitted if its predicted wait is at most this fraction of the time left until
+/// it is due. The prediction is a mean: at a fraction of 1, half of the requests admitted last
+/// would be late. tests/admission/admission_replay_test.cc compares values.
+constexpr double kAdmissibleWaitFraction = 0.8;
+/// Once a request has waited for this fraction of the time from its arrival to its due time,
+/// rejecting it like a new request no longer helps: a late slot that is expected before its retry
+/// serves the caller sooner.
+constexpr double kLongWaitFraction = 0.25;
 
-/// Whether a slot that nobody in time wants comes before the caller would be back, and soon: a
-/// longer forecast than the objective is a guess at what will arrive.
-bool late_slot_comes_first(const WaitReview& review, TimePoint now) {
+/// Returns whether a slot that no on-time request needs is expected soon and before the caller
+/// would retry. A forecast further ahead than the objective is too unreliable, because it depends
+/// on future arrivals.
+bool late_slot_precedes_retry(const WaitReview& review, TimePoint now) {
   const WaitForecast& forecast = *review.forecast;
-  const Duration held = now - review.arrival;
+  const Duration waited = now - review.arrival;
   const Duration objective = review.due - review.arrival;
-  if (held < scale(objective, kHeldPart)) return false;
-  if (!forecast.to_idle || *forecast.to_idle > objective) return false;
-  if (now + *forecast.to_idle > review.last_start) return false;
-  return !review.retry_after || *forecast.to_idle < *review.retry_after;
+  if (waited < scale(objective, kLongWaitFraction)) return false;
+  if (!forecast.time_to_drain || *forecast.time_to_drain > objective) return false;
+  if (now + *forecast.time_to_drain > review.last_start) return false;
+  return !review.retry_after || *forecast.time_to_drain < *review.retry_after;
 }
 
 }  // namespace
@@ -36,25 +38,28 @@
                                          const ServiceFigures& figures, const SlotRoom& room,
                                          double arrivals_per_second) {
   if (!figures.slot_time || figures.slot_time->count() <= 0 || room.zone == 0) return std::nullopt;
-  // Slots go to the nodes in proportion to what waits there, so that this node's part of the work
-  // that goes before a request gives the zone's.
-  const double part = position.all.requests == 0
-                          ? 1
-                          : std::min(1.0, (position.ahead.requests + 1.0) / position.all.requests);
-  const double requests_ahead = position.ahead.requests + part * figures.peers.requests;
-  const Duration time_ahead = position.ahead.slot_time + scale(figures.peers.slot_time, part);
-  // What waits can have the slots that other zones lend, and those that batch items give back at
-  // once: as much less is ahead here.
-  const double at_once = room.spare_elsewhere + room.of_batch;
-  const double left_here = requests_ahead > 0 ? std::max(0.0, 1 - at_once / requests_ahead) : 0;
+  // Nodes receive slots in proportion to their queue lengths, so the fraction of this node's queue
+  // that precedes the request also holds for the rest of the zone.
+  const double node_fraction =
+      position.all.requests == 0
+          ? 1
+          : std::min(1.0, (position.ahead.requests + 1.0) / position.all.requests);
+  const double requests_ahead = position.ahead.requests + node_fraction * figures.peers.requests;
+  const Duration time_ahead =
+      position.ahead.slot_time + scale(figures.peers.slot_time, node_fraction);
+  // Queued requests can use slots lent by other zones and slots that batch items release
+  // immediately, so that many fewer requests are ahead in this zone.
+  const double immediately_available = room.spare_elsewhere + room.of_batch;
+  const double remaining_fraction =
+      requests_ahead > 0 ? std::max(0.0, 1 - immediately_available / requests_ahead) : 0;
   WaitForecast forecast;
-  forecast.ahead = static_cast<std::uint32_t>(requests_ahead * left_here);
+  forecast.ahead = static_cast<std::uint32_t>(requests_ahead * remaining_fraction);
   const double freed = freed_per_second(figures, room.zone);
-  forecast.wait = scale(time_ahead, left_here / (freed * to_seconds(*figures.slot_time)));
+  forecast.wait = scale(time_ahead, remaining_fraction / (freed * to_seconds(*figures.slot_time)));
   const double spare = freed - arrivals_per_second;
   if (spare > 0) {
     const double waiting = position.all.requests + figures.peers.requests;
-    forecast.to_idle = scale(std::chrono::seconds(1), waiting / spare);
+    forecast.time_to_drain = scale(std::chrono::seconds(1), waiting / spare);
   }
   return forecast;
 }
@@ -66,11 +71,11 @@
   const WaitForecast& forecast = *review.forecast;
   if (now + forecast.wait > review.last_start) return RejectionReason::kPastUse;
   if (review.standing == AdmissionStanding::kReturned) return std::nullopt;
-  // Nobody who can be in time wants the next slot.
+  // No other request that can still be on time needs the next slot.
   if (forecast.ahead == 0) return std::nullopt;
   const Duration left = review.due - now;
-  if (forecast.wait <= scale(left, kPromisedPart)) return std::nullopt;
-  if (late_slot_comes_first(review, now)) return std::nullopt;
+  if (forecast.wait <= scale(left, kAdmissibleWaitFraction)) return std::nullopt;
+  if (late_slot_precedes_retry(review, now)) return std::nullopt;
   return RejectionReason::kOverloaded;
 }
 
--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -1,5 +1,5 @@
 /// @file
-/// Whether a request that found no slot waits on or is rejected.
+/// Decides whether a request that found no free slot keeps waiting or is rejected.
 #pragma once
 
 #include <cstdint>
@@ -11,54 +11,56 @@
 
 namespace stoathold {
 
-/// What is known of a request from before it came to this wait.
+/// How a request entered the queue, as far as this affects its admission.
 enum class AdmissionStanding : std::uint8_t {
   kNewcomer,
-  kReturned,  ///< Its caller came back as its Retry-After said.
-  kBegun,     ///< It has run or its answer has begun: rejected, it would be broken off.
+  kReturned,  ///< Its caller retried at the time given by its Retry-After.
+  kBegun,     ///< It has run or its response has started; rejecting it would abort that response.
 };
 
-/// Where a request stands among what waits at its node for its service and can be in time.
+/// Position of a request among the requests for its service that are queued at its node and can
+/// still be on time.
 struct QueuePosition {
-  QueuedWork ahead;  ///< In time, before the request in the queue's order.
-  QueuedWork all;    ///< In time, the request counted in if it is.
+  QueuedWork ahead;  ///< On-time work before the request in queue order.
+  QueuedWork all;    ///< All on-time work, including the request itself if it is on time.
 };
 
-/// The slots of a service.
+/// Slots of a service that a queued request can use.
 struct SlotRoom {
-  std::uint32_t zone = 0;             ///< Of this zone.
-  std::uint32_t spare_elsewhere = 0;  ///< Free ones of other zones that lend.
-  std::uint32_t of_batch = 0;         ///< Of this zone, held by batch items that would yield.
+  std::uint32_t zone = 0;             ///< All slots in this zone.
+  std::uint32_t spare_elsewhere = 0;  ///< Free slots that other zones lend.
+  std::uint32_t of_batch = 0;         ///< Slots in this zone held by batch items that would yield.
 };
 
-/// When a request gets a slot, as predicted.
+/// Predicted wait for a slot.
 struct WaitForecast {
-  std::uint32_t ahead = 0;          ///< Requests in time that go before it, in the zone.
-  Duration wait{0};                 ///< Until it gets a slot, if nothing further goes before it.
-  std::optional<Duration> to_idle;  ///< Until nothing in time waits; nothing: it grows.
+  std::uint32_t ahead = 0;  ///< Requests that can be on time and precede it, in the whole zone.
+  Duration wait{0};         ///< Time until it gets a slot if nothing else overtakes it.
+  std::optional<Duration> time_to_drain;  ///< Time until on-time work is gone; empty if it grows.
 };
 
-/// Returns the slots that come free in a second while all are taken: those of the zone, or more if
-/// other zones lend some. 0: unknown.
+/// Returns the slots that become free per second while all are in use: the rate of the zone's own
+/// slots, or the measured rate if that is higher because other zones lend slots. Returns 0 if
+/// unknown.
 double freed_per_second(const ServiceFigures& figures, std::uint32_t slots);
 
 /// Predicts the wait for a slot.
-/// @return nothing if a figure is missing.
+/// @return nothing if the slot time or the number of slots is unknown.
 std::optional<WaitForecast> predict_wait(const QueuePosition& position,
                                          const ServiceFigures& figures, const SlotRoom& room,
                                          double arrivals_per_second);
 
-/// What a decision depends on.
+/// Inputs of the admission decision.
 struct WaitReview {
   AdmissionStanding standing = AdmissionStanding::kNewcomer;
   TimePoint arrival{};
-  TimePoint due{};         ///< In time if it has a slot by then.
-  TimePoint last_start{};  ///< With a slot later than this, its first event finds its caller gone.
+  TimePoint due{};         ///< The request is on time if it has a slot by then.
+  TimePoint last_start{};  ///< With a later slot, the caller gives up before the first event.
   std::optional<WaitForecast> forecast;
-  std::optional<Duration> retry_after;  ///< That its refusal would name.
+  std::optional<Duration> retry_after;  ///< Retry-After that a rejection would carry.
 };
 
-/// Returns why a request is rejected now; nothing: it waits on. Pure.
+/// Returns why the request is rejected now, or nothing if it keeps waiting. Has no side effects.
 std::optional<RejectionReason> review_wait(const WaitReview& review, TimePoint now);
 
 }  // namespace stoathold
--- a/src/admission/arrival_swing.cc
+++ b/src/admission/arrival_swing.cc
@@ -6,73 +6,78 @@
 namespace stoathold {
 namespace {
 
-/// Part of a new bin in the recent rate: about the last 0.3 s count, in which a zone of a few
-/// requests a second more than its noise shows.
-constexpr double kRecentPart = 0.35;
-/// Part of a new bin in the mean: about the last 10 s count, two turns of a swing of 6 s.
-constexpr double kMeanPart = 0.01;
-/// A peak begins above this multiple of the mean and ends below the other: apart enough that noise
-/// does not end it.
-constexpr double kPeakBegins = 1.25;
-constexpr double kPeakEnds = 0.95;
-/// Bins after which a level's end is noticed, at the parts above.
-constexpr std::size_t kNoticeBins = 2;
-/// Shorter ones are noise.
-constexpr Duration kShortestLevel = std::chrono::milliseconds(400);
+/// Smoothing factor of the recent rate: averages about the last 0.3 s, the shortest time over which
+/// a zone with a few requests per second shows more than noise.
+constexpr double kRecentSmoothing = 0.35;
+/// Smoothing factor of the long-term mean: averages about the last 10 s, nearly two periods of a 6
+/// s oscillation.
+constexpr double kMeanSmoothing = 0.01;
+/// A peak starts above the first multiple of the mean and ends below the second. They are far
+/// enough apart that noise does not end a peak.
+constexpr double kPeakStartRatio = 1.25;
+constexpr double kPeakEndRatio = 0.95;
+/// Bins by which the detection of a level change lags, with the smoothing factors above.
+constexpr std::size_t kDetectionDelayBins = 2;
+/// Shorter levels are noise.
+constexpr Duration kMinLevelLength = std::chrono::milliseconds(400);
 
 }  // namespace
 
-bool ArrivalSwing::has_switched() const {
-  return high_ ? recent_ < kPeakEnds * mean_ : recent_ > kPeakBegins * mean_;
+bool ArrivalSwing::level_has_changed() const {
+  return in_peak_ ? recent_ < kPeakEndRatio * mean_ : recent_ > kPeakStartRatio * mean_;
 }
 
 void ArrivalSwing::observe(double rate, TimePoint now) {
   ++bins_;
-  const double mean_part = std::max(kMeanPart, 1.0 / static_cast<double>(bins_));
-  mean_ += mean_part * (rate - mean_);
-  recent_ += (bins_ == 1 ? 1 : kRecentPart) * (rate - recent_);
-  if (bins_ == 1) since_ = now;
-  // The newest bins may belong to the next level already: it is noticed some bins late.
-  newest_.push_back(rate);
-  if (newest_.size() > kNoticeBins) {
-    level_sum_ += newest_.front();
-    newest_.pop_front();
+  const double mean_smoothing = std::max(kMeanSmoothing, 1.0 / static_cast<double>(bins_));
+  mean_ += mean_smoothing * (rate - mean_);
+  recent_ += (bins_ == 1 ? 1 : kRecentSmoothing) * (rate - recent_);
+  if (bins_ == 1) level_start_ = now;
+  // A level change is detected some bins late, so the newest bins may already belong to the next
+  // level.
+  newest_rates_.push_back(rate);
+  if (newest_rates_.size() > kDetectionDelayBins) {
+    level_rate_sum_ += newest_rates_.front();
+    newest_rates_.pop_front();
     ++level_bins_;
   }
-  if (has_switched()) begin_level(now - kBin * static_cast<int>(newest_.size()));
+  if (level_has_changed()) start_level(now - kBin * static_cast<int>(newest_rates_.size()));
 }
 
 double ArrivalSwing::newest_mean() const {
-  const double sum = std::accumulate(newest_.begin(), newest_.end(), 0.0);
-  return newest_.empty() ? 0 : sum / static_cast<double>(newest_.size());
+  const double sum = std::accumulate(newest_rates_.begin(), newest_rates_.end(), 0.0);
+  return newest_rates_.empty() ? 0 : sum / static_cast<double>(newest_rates_.size());
 }
 
-void ArrivalSwing::begin_level(TimePoint start) {
-  const Duration length = start - since_;
-  Level& ended = high_ ? peak_ : low_;
-  if (begin_seen_ && length >= kShortestLevel && level_bins_ > 0) {
-    ended = {level_sum_ / static_cast<double>(level_bins_), length};
+void ArrivalSwing::start_level(TimePoint start) {
+  const Duration length = start - level_start_;
+  Level& ended = in_peak_ ? peak_ : low_;
+  if (start_observed_ && length >= kMinLevelLength && level_bins_ > 0) {
+    ended = {level_rate_sum_ / static_cast<double>(level_bins_), length};
   }
-  begin_seen_ = true;
-  high_ = !high_;
-  since_ = start;
-  level_sum_ = 0;
+  start_observed_ = true;
+  in_peak_ = !in_peak_;
+  level_start_ = start;
+  level_rate_sum_ = 0;
   level_bins_ = 0;
 }
 
-/// A level whose length is not known yet is expected to last as long again as it has lasted.
-TimePoint ArrivalSwing::switch_time(TimePoint now) const {
-  const Duration usual = (high_ ? peak_ : low_).length;
-  const TimePoint expected = usual.count() > 0 ? since_ + usual : now + (now - since_);
+/// While the length of the current level is unknown, it is expected to last for as long again as it
+/// has lasted so far.
+TimePoint ArrivalSwing::expected_level_change(TimePoint now) const {
+  const Duration typical_length = (in_peak_ ? peak_ : low_).length;
+  const TimePoint expected =
+      typical_length.count() > 0 ? level_start_ + typical_length : now + (now - level_start_);
   return std::max(expected, now + kBin);
 }
 
-/// The levels keep their proportion while all arrivals grow: those of just now say how much.
+/// The ratio between the two levels stays the same when all arrivals grow, so the recent rate
+/// scales the other level.
 double ArrivalSwing::expected_rate(TimePoint at, TimePoint now) const {
-  // Arrivals that begin to rise are in the newest bins before the mean shows them.
-  if (at < switch_time(now)) return std::max(recent_, newest_mean());
-  const Level& here = high_ ? peak_ : low_;
-  const Level& other = high_ ? low_ : peak_;
+  // A rise in arrivals shows in the newest bins before it shows in the smoothed rate.
+  if (at < expected_level_change(now)) return std::max(recent_, newest_mean());
+  const Level& here = in_peak_ ? peak_ : low_;
+  const Level& other = in_peak_ ? low_ : peak_;
   if (here.rate <= 0 || other.rate <= 0) return mean_;
   return recent_ * other.rate / here.rate;
 }
--- a/src/admission/arrival_swing.h
+++ b/src/admission/arrival_swing.h
@@ -1,5 +1,5 @@
 /// @file
-/// Learns how the arrivals of a service swing, and says how many to expect a little later.
+/// Forecasts the arrival rate of a service from the oscillation of its past arrivals.
 #pragma once
 
 #include <cstddef>
@@ -9,45 +9,46 @@
 
 namespace stoathold {
 
-/// Arrivals as two levels that take turns, each of a usual length: what callers' shared rhythms
-/// (an hour that begins, a flight that is called) look like over some seconds. Times passed in
-/// rise. Used on one thread.
+/// Models arrivals as two alternating levels, each of a typical length. This is how events shared
+/// by many callers, such as the start of an hour or the boarding call of a flight, look over some
+/// seconds. Times passed in must not decrease. Used on one thread.
 class ArrivalSwing {
  public:
-  /// Arrivals are counted over this time: long enough for some to come, short beside the times
-  /// that callers wait.
+  /// Length of an arrival counting bin: long enough to contain some arrivals, short compared to the
+  /// time for which callers wait.
   static constexpr Duration kBin = std::chrono::milliseconds(100);
 
-  /// A bin is over.
-  /// @param rate its arrivals a second.
+  /// Adds a completed bin.
+  /// @param rate arrivals per second in this bin.
   void observe(double rate, TimePoint now);
-  /// Returns the rate that is expected at a moment that comes; 0 if nothing is known.
+  /// Returns the rate expected at a future time; 0 if nothing is known.
   [[nodiscard]] double expected_rate(TimePoint at, TimePoint now) const;
-  /// Returns the rate of just now.
+  /// Returns the current smoothed rate.
   [[nodiscard]] double rate() const { return recent_; }
 
  private:
-  /// One level, as its latest time that was seen from begin to end; 0: none was.
+  /// Rate and length of the latest occurrence of a level that was observed from start to end; 0 if
+  /// there was none.
   struct Level {
     double rate = 0;
     Duration length{0};
   };
 
-  void begin_level(TimePoint start);
+  void start_level(TimePoint start);
   [[nodiscard]] double newest_mean() const;
-  /// Returns whether the level of just now has ended.
-  [[nodiscard]] bool has_switched() const;
-  /// When the level of just now is expected to end.
-  [[nodiscard]] TimePoint switch_time(TimePoint now) const;
+  /// Returns whether the current level has ended.
+  [[nodiscard]] bool level_has_changed() const;
+  /// Returns when the current level is expected to end.
+  [[nodiscard]] TimePoint expected_level_change(TimePoint now) const;
 
   double recent_ = 0;
   double mean_ = 0;
   std::size_t bins_ = 0;
-  bool high_ = false;
-  bool begin_seen_ = false;    ///< The level of just now was seen from its begin.
-  TimePoint since_{};          ///< Begin of the level of just now.
-  std::deque<double> newest_;  ///< Rates of bins that may belong to the next level.
-  double level_sum_ = 0;       ///< Rates of the bins of the level of just now.
+  bool in_peak_ = false;
+  bool start_observed_ = false;      ///< The current level was observed from its start.
+  TimePoint level_start_{};          ///< Start of the current level.
+  std::deque<double> newest_rates_;  ///< Rates of bins that may belong to the next level.
+  double level_rate_sum_ = 0;        ///< Sum of the bin rates of the current level.
   std::size_t level_bins_ = 0;
   Level low_;
   Level peak_;
--- a/src/admission/backlog_report.h
+++ b/src/admission/backlog_report.h
@@ -1,21 +1,21 @@
 /// @file
-/// What a node reports to others about work that waits for a service.
+/// Report of a node to its peers about the requests queued for a service.
 #pragma once
 
 #include <cstdint>
 
 namespace stoathold {
 
-/// Online work for one service at the sender. Counters count from the sender's start and wrap
-/// around: only differences count, so that a lost report costs nothing.
+/// Online work for one service at the sender. Counters start at 0 with the sender's process and
+/// wrap around. Receivers use only differences, so a lost report costs nothing.
 struct ServiceBacklog {
-  std::uint64_t service = 0;          ///< Hash of its name.
+  std::uint64_t service = 0;          ///< Hash of the service's name.
   std::uint8_t priority = 0;          ///< 0 is the most urgent.
-  std::uint16_t waiting = 0;          ///< Requests that wait for a slot and can be in time.
-  std::uint32_t waiting_slot_ms = 0;  ///< Slot time that they are predicted to take.
-  std::uint32_t freed_slots = 0;      ///< Slots that requests gave back.
-  std::uint32_t freed_slot_ms = 0;    ///< Time for which those were held.
-  std::uint32_t arrivals = 0;  ///< Requests that came, without those that came back as asked.
+  std::uint16_t waiting = 0;          ///< Requests that wait for a slot and can still be on time.
+  std::uint32_t waiting_slot_ms = 0;  ///< Predicted slot time of the waiting requests.
+  std::uint32_t freed_slots = 0;      ///< Slots released by requests.
+  std::uint32_t freed_slot_ms = 0;    ///< Total time for which the released slots were held.
+  std::uint32_t arrivals = 0;         ///< Requests that arrived, except for booked retries.
 
   template <typename Archive>
   void serialize(Archive& archive) {
--- a/src/admission/fair_turns.cc
+++ b/src/admission/fair_turns.cc
@@ -8,25 +8,28 @@
 namespace stoathold {
 namespace {
 
-/// Slot time of a request of which nothing is predicted.
+/// Assumed slot time of a request without a prediction.
 constexpr Duration kUnknownSlotTime = std::chrono::milliseconds(500);
-/// A tenant may be above its part by so much, and by so many requests, before it goes behind
-/// others: at few requests a second chance alone makes that difference within the memory of use.
+/// A tenant ranks behind others only if it exceeds its fair share by this factor and also by this
+/// number of requests. At a few requests per second, chance alone causes such a difference within
+/// the usage decay time.
 constexpr double kTenantTolerance = 1.1;
 constexpr double kToleratedRequests = 3;
-/// The same for a route above its usual part, of which only this node's requests are known.
+/// The same factor for a route above its typical share. Only this node's requests of a route are
+/// known.
 constexpr double kRouteTolerance = 1.25;
-/// Turns between a tenant's part and twice of it: those above their parts are evened out too.
-constexpr double kTurnsPerPart = 4;
-/// The latest turn: who is further above is not distinguished any more.
-constexpr double kLastTurn = 40;
-/// Routes only order inside a tenant's turn.
-constexpr double kRouteTurnStep = 0.1;
-constexpr double kLastRouteTurn = 0.9;
-/// Routes that are distinguished at most, over all tenants.
+/// Ranks between a tenant's fair share and twice that share, so that tenants above their shares are
+/// balanced against each other as well.
+constexpr double kRanksPerShare = 4;
+/// Highest rank; tenants that exceed their share by more are not distinguished further.
+constexpr double kMaxTenantRank = 40;
+/// Route ranks stay below 1, so that they only order the requests within one tenant rank.
+constexpr double kRouteRankStep = 0.1;
+constexpr double kMaxRouteRank = 0.9;
+/// Maximum number of tracked routes over all tenants.
 constexpr std::size_t kMaxRoutes = 1024;
-/// Use below this, in seconds of slot time, is forgotten.
-constexpr double kNoUse = 0.005;
+/// Use below this, in seconds of slot time, is dropped.
+constexpr double kNegligibleUse = 0.005;
 
 Duration slot_time_of(const TurnRequest& request) {
   return request.slot_time > Duration{0} ? request.slot_time : kUnknownSlotTime;
@@ -38,32 +41,34 @@
 
 }  // namespace
 
-double FairTurns::tenant_turn(const ShareKey& key, double cost, TimePoint now) const {
+double FairTurns::tenant_rank(const ShareKey& key, double cost, TimePoint now) const {
   const ShareLedger::Total total = ledger_.total(key.service, now);
   if (total.weight <= 0) return 0;
-  const double part = total.seconds / total.weight * ledger_.weight_of(key.tenant);
-  const double above =
-      ledger_.seconds(key, now) - kTenantTolerance * part - kToleratedRequests * cost;
-  if (above <= 0) return 0;
-  return std::min(kLastTurn, 1 + std::floor(kTurnsPerPart * above / std::max(part, cost)));
+  const double fair_share = total.seconds / total.weight * ledger_.weight_of(key.tenant);
+  const double excess =
+      ledger_.seconds(key, now) - kTenantTolerance * fair_share - kToleratedRequests * cost;
+  if (excess <= 0) return 0;
+  return std::min(kMaxTenantRank,
+                  1 + std::floor(kRanksPerShare * excess / std::max(fair_share, cost)));
 }
 
-double FairTurns::route_turn(const TurnRequest& request, double cost, TimePoint now) const {
+double FairTurns::route_rank(const TurnRequest& request, double cost, TimePoint now) const {
   const std::uint64_t owner = owner_of(request.key);
-  double lately = 0;
-  double usual = 0;
+  double recent = 0;
+  double typical = 0;
   for (const auto& [name, use] : routes_) {
     if (use.owner != owner) continue;
-    lately += use.lately.value(now) + use.waiting;
-    usual += use.usual.value(now);
+    recent += use.recent.value(now) + use.waiting;
+    typical += use.typical.value(now);
   }
   const auto own = routes_.find(mix_hashes(owner, request.route));
-  if (own == routes_.end() || usual < kNoUse) return 0;
-  const double part = lately * own->second.usual.value(now) / usual;
-  const double above = own->second.lately.value(now) + own->second.waiting -
-                       kRouteTolerance * part - kToleratedRequests * cost;
-  if (above <= 0) return 0;
-  return std::min(kLastRouteTurn, kRouteTurnStep * (1 + std::floor(above / std::max(part, cost))));
+  if (own == routes_.end() || typical < kNegligibleUse) return 0;
+  const double fair_share = recent * own->second.typical.value(now) / typical;
+  const double excess = own->second.recent.value(now) + own->second.waiting -
+                        kRouteTolerance * fair_share - kToleratedRequests * cost;
+  if (excess <= 0) return 0;
+  return std::min(kMaxRouteRank,
+                  kRouteRankStep * (1 + std::floor(excess / std::max(fair_share, cost))));
 }
 
 FairTurns::RouteUse* FairTurns::route_of(const TurnRequest& request) {
@@ -77,9 +82,9 @@
 
 double FairTurns::arrive(const TurnRequest& request, TimePoint now) {
   const double cost = to_seconds(slot_time_of(request));
-  const double turn = tenant_turn(request.key, cost, now) + route_turn(request, cost, now);
+  const double rank = tenant_rank(request.key, cost, now) + route_rank(request, cost, now);
   count_waiting(request, now);
-  return turn;
+  return rank;
 }
 
 void FairTurns::count_waiting(const TurnRequest& request, TimePoint now) {
@@ -100,8 +105,8 @@
   const Duration slot_time = slot_time_of(request);
   ledger_.use(request.key, slot_time, now);
   if (RouteUse* route = route_of(request)) {
-    route->lately.add(to_seconds(slot_time), now);
-    route->usual.add(to_seconds(slot_time), now);
+    route->recent.add(to_seconds(slot_time), now);
+    route->typical.add(to_seconds(slot_time), now);
   }
   return slot_time;
 }
@@ -109,15 +114,15 @@
 double FairTurns::over_part(const ShareKey& key, TimePoint now) const {
   const ShareLedger::Total total = ledger_.total(key.service, now);
   if (total.seconds <= 0) return 0;
-  const double part = total.seconds / total.weight * ledger_.weight_of(key.tenant);
-  return ledger_.seconds(key, now) / part;
+  const double fair_share = total.seconds / total.weight * ledger_.weight_of(key.tenant);
+  return ledger_.seconds(key, now) / fair_share;
 }
 
 void FairTurns::forget(TimePoint now) {
   ledger_.forget(now);
   std::erase_if(routes_, [&](const auto& entry) {
     const RouteUse& use = entry.second;
-    return use.waiting <= 0 && use.usual.value(now) < kNoUse;
+    return use.waiting <= 0 && use.typical.value(now) < kNegligibleUse;
   });
 }
 
--- a/src/admission/fair_turns.h
+++ b/src/admission/fair_turns.h
@@ -1,13 +1,14 @@
 /// @file
-/// Whose request goes first among those of one priority that wait for a service.
+/// Orders the requests of one priority that wait for a service by weighted fair shares.
 ///
-/// Who was given more slot time lately than an equal part, by weight, goes behind those who were
-/// not: the further above, the later. All within their part have the same turn and go by the time
-/// at which they are due, so that nothing changes while nobody takes more than the others, and one
-/// that is alone is never above its part. Nothing is kept back: a turn is only an order.
+/// A tenant that recently used more slot time than its weighted fair share ranks behind those that
+/// did not; the larger the excess, the later. All tenants within their share have the same rank and
+/// are served by due time. So the order stays the same while no tenant takes more than the others,
+/// and a tenant that is alone is never above its share. No slot is withheld: a rank only determines
+/// the order.
 ///
-/// Two levels: tenants first, then the routes of a tenant. A tenant's part does not depend on the
-/// routes that it uses. Among routes the part is what they usually have.
+/// There are two levels: tenants first, then the routes of a tenant. A tenant's share does not
+/// depend on the routes that it uses. The share of a route is its typical part of the tenant's use.
 #pragma once
 
 #include <cstdint>
@@ -19,49 +20,50 @@
 
 namespace stoathold {
 
-/// What a turn is asked for.
+/// Describes a request to rank.
 struct TurnRequest {
   ShareKey key;
   std::uint64_t route = 0;  ///< Hash of the route's name.
-  Duration slot_time{0};    ///< For which it is predicted to hold a slot; 0: not known.
+  Duration slot_time{0};    ///< Predicted time for which it holds a slot; 0 if unknown.
 };
 
-/// Gives out turns, and counts what waits and what was given. Used on one thread; the ledger
-/// outlives it.
+/// Ranks requests and records waiting work and used slot time. Used on one thread. The ledger must
+/// outlive it.
 class FairTurns {
  public:
   explicit FairTurns(ShareLedger& ledger) : ledger_(ledger) {}
 
-  /// A request comes, and counts as waiting until `placed` or `left`.
-  /// @return its turn: 0 within its part; lower goes first.
+  /// Adds a request, which counts as waiting until `on_placed` or `on_abandoned`.
+  /// @return its rank: 0 within the fair share; lower ranks are served first.
   double arrive(const TurnRequest& request, TimePoint now);
-  /// The same where no turn is wanted: it only counts as waiting.
+  /// Adds a request that needs no rank; it only counts as waiting.
   void count_waiting(const TurnRequest& request, TimePoint now);
-  /// It was given a slot.
-  /// @return the slot time that was counted.
+  /// Records that a request got a slot.
+  /// @return the slot time that was charged.
   Duration placed(const TurnRequest& request, TimePoint now);
-  /// It left without one.
+  /// Records that a request left the queue without a slot.
   void left(const TurnRequest& request);
 
-  /// Returns the slot time lately of the tenant over its part; 1: just its part.
+  /// Returns the ratio of the tenant's recent slot time to its fair share; 1 is exactly the share.
   [[nodiscard]] double over_part(const ShareKey& key, TimePoint now) const;
   void forget(TimePoint now);
 
  private:
-  /// Requests of one route of a tenant, at this node.
+  /// Use of one route of a tenant, at this node.
   struct RouteUse {
     explicit RouteUse(std::uint64_t tenant_key) : owner(tenant_key) {}
 
-    std::uint64_t owner;  ///< Of the tenant at the service.
-    DecayingCount lately{kShareMemory};
-    DecayingCount usual{kUsualMemory};
+    std::uint64_t owner;  ///< Identifies the tenant at the service.
+    DecayingCount recent{kUsageDecayTime};
+    DecayingCount typical{kTypicalUseDecayTime};
     double waiting = 0;
   };
-  /// Over which the usual part of a route is learned: some swings of arrivals.
-  static constexpr Duration kUsualMemory = std::chrono::seconds(60);
+  /// Decay time over which the typical share of a route is learned: several oscillations of
+  /// arrivals.
+  static constexpr Duration kTypicalUseDecayTime = std::chrono::seconds(60);
 
-  [[nodiscard]] double tenant_turn(const ShareKey& key, double cost, TimePoint now) const;
-  [[nodiscard]] double route_turn(const TurnRequest& request, double cost, TimePoint now) const;
+  [[nodiscard]] double tenant_rank(const ShareKey& key, double cost, TimePoint now) const;
+  [[nodiscard]] double route_rank(const TurnRequest& request, double cost, TimePoint now) const;
   RouteUse* route_of(const TurnRequest& request);
 
   ShareLedger& ledger_;
--- a/src/admission/kind_watch.cc
+++ b/src/admission/kind_watch.cc
@@ -3,18 +3,18 @@
 namespace stoathold {
 namespace {
 
-/// Kinds that are distinguished at most; those of a configuration are some dozens.
-constexpr std::size_t kMostKinds = 100;
-/// Below so many requests lately a part means little.
-constexpr double kFewestRequests = 20;
-/// A difference in the parts served that callers notice: one in twenty.
-constexpr double kLeastDifference = 0.05;
+/// Maximum number of tracked classes; a configuration has some dozens.
+constexpr std::size_t kMaxClasses = 100;
+/// With fewer recent requests than this, a fraction is not meaningful.
+constexpr double kMinRequests = 20;
+/// Smallest difference between the placed fractions that callers notice: one request in twenty.
+constexpr double kMinDifference = 0.05;
 
 }  // namespace
 
 void KindWatch::count(const KindOfRequest& kind, KindOutcome outcome, TimePoint now) {
-  if (kinds_.size() >= kMostKinds && !kinds_.contains(kind)) return;
-  Counts& counts = kinds_[kind];
+  if (classes_.size() >= kMaxClasses && !classes_.contains(kind)) return;
+  Counts& counts = classes_[kind];
   ++counts.total[static_cast<std::size_t>(outcome)];
   const bool placed = outcome != KindOutcome::kNotPlaced;
   (placed ? counts.placed : counts.not_placed).add(1, now);
@@ -25,16 +25,16 @@
   const auto requests = [now](const Counts& counts) {
     return counts.placed.value(now) + counts.not_placed.value(now);
   };
-  for (const auto& [urgent, counts] : kinds_) {
-    const double came = requests(counts);
-    if (came < kFewestRequests) continue;
-    const double served = counts.placed.value(now) / came;
-    for (const auto& [other, other_counts] : kinds_) {
-      const double others = requests(other_counts);
-      const bool less_urgent = other.service == urgent.service && other.priority > urgent.priority;
-      if (!less_urgent || others < kFewestRequests) continue;
-      const double other_served = other_counts.placed.value(now) / others;
-      if (other_served - served < kLeastDifference) continue;
+  for (const auto& [urgent, counts] : classes_) {
+    const double request_count = requests(counts);
+    if (request_count < kMinRequests) continue;
+    const double served = counts.placed.value(now) / request_count;
+    for (const auto& [other, other_counts] : classes_) {
+      const double other_request_count = requests(other_counts);
+      const bool comparable = other.service == urgent.service && other.priority > urgent.priority;
+      if (!comparable || other_request_count < kMinRequests) continue;
+      const double other_served = other_counts.placed.value(now) / other_request_count;
+      if (other_served - served < kMinDifference) continue;
       result.push_back({urgent, served, other, other_served});
     }
   }
--- a/src/admission/kind_watch.h
+++ b/src/admission/kind_watch.h
@@ -1,6 +1,6 @@
 /// @file
-/// Watches whether a more urgent kind of request of a service is served less than a less urgent
-/// one.
+/// Detects priority inversions: a more urgent class of requests that is served less often than a
+/// less urgent class of the same service.
 #pragma once
 
 #include <array>
@@ -15,7 +15,7 @@
 
 namespace stoathold {
 
-/// Requests of one route at one service, with one priority.
+/// Requests of one route at one service with one priority.
 struct KindOfRequest {
   std::string service;
   std::string route;
@@ -36,34 +36,36 @@
   return outcome == KindOutcome::kLate ? "late" : "not_placed";
 }
 
-/// A kind that was placed less than a less urgent one of its service, in the last seconds.
+/// A class whose recent requests were placed less often than those of a less urgent class of the
+/// same service.
 struct KindInversion {
   KindOfRequest urgent;
-  double urgent_served = 0;  ///< Part of its requests that were placed.
+  double urgent_served = 0;  ///< Fraction of its requests that were placed.
   KindOfRequest other;
   double other_served = 0;
 };
 
-/// Counts by kind. Used on one thread.
+/// Counts wait outcomes by request class. Used on one thread.
 class KindWatch {
  public:
-  /// Counts since the start, by outcome.
+  /// Totals by outcome since the process started, and recent counts.
   struct Counts {
     std::array<std::uint64_t, kKindOutcomes.size()> total{};
-    DecayingCount placed{kWatched};
-    DecayingCount not_placed{kWatched};
+    DecayingCount placed{kDecayTime};
+    DecayingCount not_placed{kDecayTime};
   };
 
   void count(const KindOfRequest& kind, KindOutcome outcome, TimePoint now);
-  /// Returns the kinds that were placed less than a less urgent one by more than a chance makes.
+  /// Returns the classes that were placed less often than a less urgent one, by more than chance
+  /// explains.
   [[nodiscard]] std::vector<KindInversion> inversions(TimePoint now) const;
-  [[nodiscard]] const std::map<KindOfRequest, Counts>& kinds() const { return kinds_; }
+  [[nodiscard]] const std::map<KindOfRequest, Counts>& kinds() const { return classes_; }
 
  private:
-  /// Time in which requests are forgotten to 1/e: some swings of arrivals.
-  static constexpr Duration kWatched = std::chrono::seconds(10);
+  /// Time in which counts decay to 1/e: several oscillations of arrivals.
+  static constexpr Duration kDecayTime = std::chrono::seconds(10);
 
-  std::map<KindOfRequest, Counts> kinds_;
+  std::map<KindOfRequest, Counts> classes_;
 };
 
 }  // namespace stoathold
--- a/src/admission/load_policy.cc
+++ b/src/admission/load_policy.cc
@@ -3,13 +3,13 @@
 namespace stoathold {
 
 LoadPolicy load_policy_for(const DeploymentTraits& traits) {
-  const bool hard_load = traits.has_tenants || traits.reports_slowness;
-  return {.predicts_waits = hard_load,
-          .shares_fairly = hard_load,
+  const bool overload_control = traits.has_tenants || traits.reports_slowness;
+  return {.predicts_waits = overload_control,
+          .shares_fairly = overload_control,
           .knows_speeds = traits.reports_slowness,
-          .lends_slots = hard_load,
-          .deals_batch = hard_load,
-          .keeps_connections = hard_load};
+          .lends_slots = overload_control,
+          .deals_batch = overload_control,
+          .keeps_connections = overload_control};
 }
 
 }  // namespace stoathold
--- a/src/admission/load_policy.h
+++ b/src/admission/load_policy.h
@@ -1,29 +1,31 @@
 /// @file
-/// Which decisions for hard load a node makes: those that its deployment calls for.
+/// Selects the overload control mechanisms that a deployment needs.
 #pragma once
 
 namespace stoathold {
 
-/// What a deployment shows of itself.
+/// Properties of a deployment that determine its policy.
 struct DeploymentTraits {
-  /// The configuration names tenants: callers compete, and each is to have its share.
+  /// The configuration names tenants: callers compete, and each must get its share.
   bool has_tenants = false;
-  /// A runner reports how slow its shared machine makes it: runners differ from moment to moment.
+  /// A runner reports how much its shared machine slows it down: the speed of runners varies over
+  /// time.
   bool reports_slowness = false;
 };
 
-/// Switches of the decisions; all off, a fleet is served by load alone. The switches are set from
-/// the traits and by nothing else, so that a test or a trial can turn each off by itself.
+/// Enables single overload control mechanisms. With all off, requests are routed by load alone. The
+/// flags are set from the traits and from nothing else, so that a test or an experiment can turn
+/// off each one separately.
 struct LoadPolicy {
-  bool predicts_waits = false;     ///< Rejects at once what cannot be served in its time.
-  bool shares_fairly = false;      ///< Tenants, routes and services take turns by what they used.
-  bool knows_speeds = false;       ///< Chooses runners by when they will have answered.
-  bool lends_slots = false;        ///< Zones lend one another slots.
-  bool deals_batch = false;        ///< Deals a zone's runners among nodes where items wait.
-  bool keeps_connections = false;  ///< Uses few runners a node, over connections that it keeps.
+  bool predicts_waits = false;     ///< Rejects requests at once that cannot be served in time.
+  bool shares_fairly = false;      ///< Orders tenants, routes and services by their recent use.
+  bool knows_speeds = false;       ///< Chooses runners by predicted completion time.
+  bool lends_slots = false;        ///< Zones lend slots to one another.
+  bool deals_batch = false;        ///< Distributes batch runners among the nodes where items wait.
+  bool keeps_connections = false;  ///< Each node uses few runners, over persistent connections.
 };
 
-/// Returns the switches that a deployment's traits call for.
+/// Returns the policy for a deployment's traits.
 LoadPolicy load_policy_for(const DeploymentTraits& traits);
 
 }  // namespace stoathold
--- a/src/admission/placement_rejection.h
+++ b/src/admission/placement_rejection.h
@@ -1,5 +1,5 @@
 /// @file
-/// Why a request that waits for a slot is rejected, and when its caller should come back.
+/// Why a queued request is rejected, and when its caller should retry.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 
 namespace stoathold {
 
-/// Why a request is rejected before its wait is over.
+/// Why a request is rejected before its caller gives up.
 enum class RejectionReason : std::uint8_t {
-  kPastUse,     ///< Its first event cannot come before its caller leaves.
-  kOverloaded,  ///< What goes before it takes all slots until then.
+  kPastUse,     ///< Its first event cannot arrive before its caller gives up.
+  kOverloaded,  ///< The requests ahead of it use all slots until it is due.
 };
 
 /// Returns the reason's name for logs and metrics.
@@ -21,12 +21,12 @@
   return reason == RejectionReason::kPastUse ? "past_use" : "overloaded";
 }
 
-/// A rejection. The request has not run.
+/// Rejection of a request that has not run.
 struct PlacementRejection {
   RejectionReason reason = RejectionReason::kOverloaded;
-  /// When to come back; nothing where coming back cannot help.
+  /// Delay until the retry; empty if a retry cannot succeed.
   std::optional<Duration> retry_after;
-  bool promised = false;  ///< A slot is expected for it then: it goes before newcomers.
+  bool promised = false;  ///< A slot is expected for the retry, which precedes new requests.
 };
 
 }  // namespace stoathold
--- a/src/admission/return_report.h
+++ b/src/admission/return_report.h
@@ -1,17 +1,17 @@
 /// @file
-/// What a node reports to others about callers that were told to come back.
+/// Report of a node to its peers about rejected callers that were given a retry time.
 #pragma once
 
 #include <cstdint>
 
 namespace stoathold {
 
-/// One rejected request, by its content: nothing else is the same when it comes again.
+/// One rejected request, identified by its content, the only part that is the same in a retry.
 struct ReturnReport {
   std::uint64_t content = 0;   ///< `ContentHash` of the request.
-  std::uint64_t service = 0;   ///< Hash of its name.
-  std::uint16_t after_ms = 0;  ///< Until its caller was told to come; 0: the time has come.
-  bool came = false;           ///< It has come; it may not come again as one that was told.
+  std::uint64_t service = 0;   ///< Hash of the service's name.
+  std::uint16_t after_ms = 0;  ///< Time left until the booked retry; 0 if it is due.
+  bool came = false;           ///< The retry has arrived; a further copy is not a booked retry.
 
   template <typename Archive>
   void serialize(Archive& archive) {
--- a/src/admission/return_times.cc
+++ b/src/admission/return_times.cc
@@ -6,74 +6,79 @@
 namespace stoathold {
 namespace {
 
-/// Callers wait as told up to this part of the time that they have left, and come then.
-constexpr double kHonouredPart = 1.0 / 3;
-/// A caller that is back sooner meets the same queue, and costs a connection.
-constexpr Duration kShortestReturn = std::chrono::milliseconds(100);
-/// Time for the way to the caller and back, with a new connection.
-constexpr Duration kTravel = std::chrono::milliseconds(50);
-/// Part of the slots that come free which returns may be promised while arrivals want all of them.
-constexpr double kPromisedPart = 0.3;
-/// Such a return comes no sooner: the second after a rejection is not to be fuller by it.
-constexpr Duration kSoonestPromise = std::chrono::seconds(1);
-/// Returns that come with a swing at its low fill it to this part: its rate is a guess.
-constexpr double kCalmPart = 0.9;
-/// Bins with room among which the return is drawn: nodes that reject at once, and hear of each
-/// other some 50 ms later, would all fill the first one.
-constexpr std::size_t kCalmChoices = 5;
-/// Bins around a moment over which bookings are counted where a single one has room for none: at a
-/// service of some slots a second. Odd.
-constexpr int kWideBins = 5;
-/// Until a booking of another node is known here: its digest waits, holds some of them, and
-/// travels.
-constexpr Duration kBookingsUnknown = std::chrono::milliseconds(200);
-/// Callers without a promise are spread over so long before the last moment that they wait for.
-constexpr Duration kUnpromisedSpread = std::chrono::milliseconds(300);
-/// Where nothing is known: as long as a caller takes to try again by itself.
-constexpr Duration kUnknownReturn = std::chrono::milliseconds(200);
+/// Callers respect a Retry-After up to this fraction of the time that they have left, and retry at
+/// that point at the latest.
+constexpr double kMaxRetryFraction = 1.0 / 3;
+/// An earlier retry meets the same queue and costs another connection.
+constexpr Duration kMinRetryDelay = std::chrono::milliseconds(100);
+/// Round trip to the caller and back, including a new connection.
+constexpr Duration kRoundTrip = std::chrono::milliseconds(50);
+/// Fraction of the freed slots that may be booked for retries while new arrivals need all slots.
+constexpr double kBookedSlotFraction = 0.3;
+/// Minimum delay of such a retry, so that it does not add load to the second after the rejection.
+constexpr Duration kMinBookedDelay = std::chrono::seconds(1);
+/// Utilization up to which retries fill the low phase of an oscillation. It is below 1 because the
+/// expected rate is uncertain.
+constexpr double kTargetUtilization = 0.9;
+/// Number of bins with spare slots among which the retry is drawn at random. Nodes that reject at
+/// the same time learn of each other's bookings some 50 ms later and would all fill the first bin.
+constexpr std::size_t kMaxCandidateBins = 5;
+/// Odd number of bins over which bookings are added up if a single bin has less than one slot, as
+/// at a service with a few slots per second.
+constexpr int kWindowBins = 5;
+/// Delay until a booking of another node is known here: its digest is sent at intervals, carries
+/// only some bookings at a time, and has to be delivered.
+constexpr Duration kBookingPropagationDelay = std::chrono::milliseconds(200);
+/// Retries without a booking are spread over this time before the latest moment for which callers
+/// wait.
+constexpr Duration kUnbookedJitter = std::chrono::milliseconds(300);
+/// Delay if nothing is known: as long as a caller takes to retry on its own.
+constexpr Duration kDefaultRetryDelay = std::chrono::milliseconds(200);
 
-/// A moment inside the bin, so that callers told at once do not come at once.
-Duration spread(Duration bin_start, Duration latest, Random& random) {
+/// Returns a random moment within the bin, so that callers rejected together do not retry together.
+Duration jitter_within_bin(Duration bin_start, Duration latest, Random& random) {
   const Duration moment = bin_start + scale(ReturningCallers::kBookingBin, random.unit());
   return std::min(moment, latest);
 }
 
-/// Returns how many more may be told to come at a moment that has room for so many a second.
-double places_at(const ReturnQuery& query, const ReturningCallers& callers, TimePoint at,
-                 double per_second) {
+/// Returns how many more retries can be booked at a time with this rate of available slots.
+double available_bookings(const ReturnQuery& query, const ReturningCallers& callers, TimePoint at,
+                          double per_second) {
   const double in_bin = per_second * to_seconds(ReturningCallers::kBookingBin);
   if (in_bin >= 1) return in_bin - callers.expected_at(query.service, at);
   std::uint32_t booked = 0;
-  for (int bin = -kWideBins / 2; bin <= kWideBins / 2; ++bin) {
+  for (int bin = -kWindowBins / 2; bin <= kWindowBins / 2; ++bin) {
     booked += callers.expected_at(query.service, at + bin * ReturningCallers::kBookingBin);
   }
-  return in_bin * kWideBins - booked;
+  return in_bin * kWindowBins - booked;
 }
 
-/// Moments with places for returns.
-struct Openings {
+/// Bins in which retries can be booked.
+struct CandidateBins {
   std::vector<Duration> starts;
-  double places = 0;
+  double bookings = 0;
 
   void add(Duration start, double free) {
     if (free < 1) return;
     starts.push_back(start);
-    places += free;
+    bookings += free;
   }
 };
 
-/// Whether one of the places is taken. All nodes reject in the same peak and hear of each other's
-/// bookings late: what is rejected meanwhile, anywhere, shares the places.
-bool draws_place(const ReturnQuery& query, const Openings& openings, Random& random) {
+/// Returns whether this request wins one of the bookings. All nodes reject in the same peak and
+/// learn of each other's bookings late, so the requests rejected meanwhile anywhere in the zone
+/// share the available bookings.
+bool draws_booking(const ReturnQuery& query, const CandidateBins& candidates, Random& random) {
   const double arrivals = query.swing == nullptr ? 0 : query.swing->rate();
-  const double rivals = (arrivals - query.freed_per_second) * to_seconds(kBookingsUnknown);
-  return !openings.starts.empty() && random.unit() * rivals < openings.places;
+  const double competitors =
+      (arrivals - query.freed_per_second) * to_seconds(kBookingPropagationDelay);
+  return !candidates.starts.empty() && random.unit() * competitors < candidates.bookings;
 }
 
-/// Returns a second for which a moment has room beside what arrives.
-double calm_room(const ReturnQuery& query, TimePoint at) {
+/// Returns the slots per second left at a time after the expected arrivals.
+double spare_slot_rate(const ReturnQuery& query, TimePoint at) {
   const double arrivals = query.swing == nullptr ? 0 : query.swing->expected_rate(at, query.now);
-  return kCalmPart * query.freed_per_second - arrivals;
+  return kTargetUtilization * query.freed_per_second - arrivals;
 }
 
 }  // namespace
@@ -81,29 +86,32 @@
 std::optional<ReturnTime> choose_return(const ReturnQuery& query, const ReturningCallers& callers,
                                         Random& random) {
   const Duration left = query.deadline - query.now;
-  const Duration latest = scale(left, kHonouredPart) - kTravel;
-  if (latest < kShortestReturn || left - latest < query.first_event + kTravel) return std::nullopt;
+  const Duration latest = scale(left, kMaxRetryFraction) - kRoundTrip;
+  if (latest < kMinRetryDelay || left - latest < query.first_event + kRoundTrip)
+    return std::nullopt;
   if (query.freed_per_second <= 0) {
-    return ReturnTime{std::min(latest, scale(kUnknownReturn, 0.5 + random.unit()))};
+    return ReturnTime{std::min(latest, scale(kDefaultRetryDelay, 0.5 + random.unit()))};
   }
-  const Duration earliest = std::clamp(query.wait, kShortestReturn, kSoonestPromise);
-  Openings calm;
-  Openings promised;
+  const Duration earliest = std::clamp(query.wait, kMinRetryDelay, kMinBookedDelay);
+  CandidateBins low_load;
+  CandidateBins reserved;
   for (Duration start = earliest; start < latest; start += ReturningCallers::kBookingBin) {
     const TimePoint at = query.now + start;
-    calm.add(start, places_at(query, callers, at, calm_room(query, at)));
-    if (calm.starts.size() == kCalmChoices) break;
-    if (start < kSoonestPromise) continue;
-    promised.add(start, places_at(query, callers, at, kPromisedPart * query.freed_per_second));
+    low_load.add(start, available_bookings(query, callers, at, spare_slot_rate(query, at)));
+    if (low_load.starts.size() == kMaxCandidateBins) break;
+    if (start < kMinBookedDelay) continue;
+    reserved.add(start, available_bookings(query, callers, at,
+                                           kBookedSlotFraction * query.freed_per_second));
   }
-  if (draws_place(query, calm, random)) {
-    return ReturnTime{spread(calm.starts[random.below(calm.starts.size())], latest, random)};
+  if (draws_booking(query, low_load, random)) {
+    return ReturnTime{
+        jitter_within_bin(low_load.starts[random.below(low_load.starts.size())], latest, random)};
   }
-  if (draws_place(query, promised, random)) {
-    return ReturnTime{spread(promised.starts.back(), latest, random)};
+  if (draws_booking(query, reserved, random)) {
+    return ReturnTime{jitter_within_bin(reserved.starts.back(), latest, random)};
   }
-  const Duration before_latest = scale(kUnpromisedSpread, random.unit());
-  return ReturnTime{std::max(kShortestReturn, latest - before_latest), false};
+  const Duration before_latest = scale(kUnbookedJitter, random.unit());
+  return ReturnTime{std::max(kMinRetryDelay, latest - before_latest), false};
 }
 
 }  // namespace stoathold
--- a/src/admission/return_times.h
+++ b/src/admission/return_times.h
@@ -1,5 +1,5 @@
 /// @file
-/// When a rejected caller is told to come back.
+/// Chooses the Retry-After of a rejected request.
 #pragma once
 
 #include <optional>
@@ -11,29 +11,31 @@
 
 namespace stoathold {
 
-/// What a time to come back depends on.
+/// Inputs for choosing a retry time.
 struct ReturnQuery {
   std::uint64_t service = 0;
   TimePoint now{};
-  TimePoint deadline{};                 ///< The caller's.
-  Duration first_event{0};              ///< Usual time to it, with a slot.
-  Duration wait{0};                     ///< That a newcomer would wait now.
-  double freed_per_second = 0;          ///< Slots of the zone; 0: unknown.
-  const ArrivalSwing* swing = nullptr;  ///< Null: unknown.
+  TimePoint deadline{};                 ///< Deadline of the caller.
+  Duration first_event{0};              ///< Usual time from getting a slot to the first event.
+  Duration wait{0};                     ///< Wait of a new request that arrives now.
+  double freed_per_second = 0;          ///< Slots freed per second in the zone; 0 if unknown.
+  const ArrivalSwing* swing = nullptr;  ///< Null if unknown.
 };
 
-/// When a caller is told to come back.
+/// When a rejected caller should retry.
 struct ReturnTime {
   Duration after{0};
-  /// A slot is expected for it then, so that it goes before newcomers; else it is only the moment
-  /// with the best chance: callers that are told nothing are back at once, in the same peak.
+  /// A slot is expected for the retry, so it is served before new requests. Without a booking the
+  /// time is only the one with the best chance: callers without a Retry-After retry at once, in the
+  /// same peak.
   bool promised = true;
 };
 
-/// Chooses the first moment at which slots come free for the caller, after what is expected to
-/// arrive and after the callers that were told to come then; else a late one at which it goes
-/// before newcomers without taking all slots from them; else the last one that it waits for.
-/// @return nothing if coming back cannot help the caller within its deadline.
+/// Chooses the first time at which slots are free for the caller after the expected arrivals and
+/// the retries already booked. If there is none, chooses a late time at which the retry is served
+/// before new requests without taking all slots from them; otherwise the latest time for which the
+/// caller waits.
+/// @return nothing if a retry cannot succeed within the caller's deadline.
 std::optional<ReturnTime> choose_return(const ReturnQuery& query, const ReturningCallers& callers,
                                         Random& random);
 
--- a/src/admission/returning_callers.cc
+++ b/src/admission/returning_callers.cc
@@ -7,19 +7,20 @@
 namespace stoathold {
 namespace {
 
-/// Entries that are kept, some 100 bytes each: a second of rejections at twice the arrivals that a
-/// zone is built for. More push the oldest out.
-constexpr std::size_t kMostEntries = 4096;
-/// A caller counts as early enough by this: reports are some 50 ms old when they arrive, and so the
-/// moments that they name are that much too late.
-constexpr Duration kEarly = std::chrono::milliseconds(100);
-/// A caller that has not come so long after its time does not come: it has a second for a new
+/// Maximum number of entries of some 100 bytes each: one second of rejections at twice the arrivals
+/// for which a zone is designed. The oldest entries are evicted first.
+constexpr std::size_t kMaxEntries = 4096;
+/// A retry may arrive early by this much. Reports are some 50 ms old when they arrive, and the
+/// times in them are late by as much.
+constexpr Duration kEarlyTolerance = std::chrono::milliseconds(100);
+/// A retry that is overdue by this much is not expected any more; it includes a second for a new
 /// connection.
-constexpr Duration kGrace = std::chrono::seconds(2);
-/// Longest time from the telling to the end of the grace: callers wait a few seconds at most.
+constexpr Duration kArrivalGrace = std::chrono::seconds(2);
+/// Longest time from the rejection to the end of the grace period: callers wait a few seconds at
+/// most.
 constexpr Duration kLifetime = std::chrono::seconds(10);
-/// Digests that carry an entry: single ones are lost.
-constexpr std::uint32_t kRepeats = 3;
+/// Number of digests that carry an entry, because single digests get lost.
+constexpr std::uint32_t kReportRepeats = 3;
 
 }  // namespace
 
@@ -30,8 +31,8 @@
 void ReturningCallers::add(std::uint64_t content, const Entry& entry) {
   entries_[content] = entry;
   by_age_.push_back(content);
-  if (!entry.came) ++expected_[bin_of(entry)];
-  while (by_age_.size() > kMostEntries) {
+  if (!entry.came) ++booked_counts_[bin_of(entry)];
+  while (by_age_.size() > kMaxEntries) {
     const auto oldest = entries_.find(by_age_.front());
     by_age_.pop_front();
     if (oldest == entries_.end()) continue;
@@ -42,8 +43,8 @@
 
 void ReturningCallers::release(const Entry& entry) {
   if (entry.came) return;
-  const auto found = expected_.find(bin_of(entry));
-  if (found != expected_.end() && --found->second == 0) expected_.erase(found);
+  const auto found = booked_counts_.find(bin_of(entry));
+  if (found != booked_counts_.end() && --found->second == 0) booked_counts_.erase(found);
 }
 
 void ReturningCallers::tell(std::uint64_t content, std::uint64_t service, TimePoint return_at,
@@ -55,9 +56,9 @@
   } else {
     release(found->second);
     found->second = {service, return_at, now, false};
-    ++expected_[bin_of(found->second)];
+    ++booked_counts_[bin_of(found->second)];
   }
-  outgoing_.push_back({content, kRepeats});
+  outgoing_.push_back({content, kReportRepeats});
 }
 
 bool ReturningCallers::take(std::uint64_t content, TimePoint now) {
@@ -65,22 +66,22 @@
   expire(now);
   const auto found = entries_.find(content);
   if (found == entries_.end() || found->second.came) return false;
-  if (now + kEarly < found->second.return_at) return false;
+  if (now + kEarlyTolerance < found->second.return_at) return false;
   release(found->second);
   found->second.came = true;
-  outgoing_.push_back({content, kRepeats});
+  outgoing_.push_back({content, kReportRepeats});
   return true;
 }
 
 std::uint32_t ReturningCallers::expected_at(std::uint64_t service, TimePoint at) const {
-  const auto found = expected_.find({service, at.time_since_epoch() / kBookingBin});
-  return found == expected_.end() ? 0 : found->second;
+  const auto found = booked_counts_.find({service, at.time_since_epoch() / kBookingBin});
+  return found == booked_counts_.end() ? 0 : found->second;
 }
 
-std::vector<ReturnReport> ReturningCallers::report(std::size_t most, TimePoint now) {
+std::vector<ReturnReport> ReturningCallers::report(std::size_t max_count, TimePoint now) {
   std::vector<ReturnReport> reports;
-  const std::size_t turns = std::min(most, outgoing_.size());
-  for (std::size_t turn = 0; turn < turns; ++turn) {
+  const std::size_t report_count = std::min(max_count, outgoing_.size());
+  for (std::size_t index = 0; index < report_count; ++index) {
     Outgoing next = outgoing_.front();
     outgoing_.pop_front();
     const auto found = entries_.find(next.content);
@@ -101,7 +102,7 @@
     add(report.content, {report.service, return_at, now, report.came});
     return;
   }
-  // A late or repeated report does not make a caller expected again that has come.
+  // A late or repeated report must not renew the booking of a retry that has already arrived.
   if (!report.came || found->second.came) return;
   release(found->second);
   found->second.came = true;
@@ -112,7 +113,8 @@
     const auto oldest = entries_.find(by_age_.front());
     if (oldest != entries_.end()) {
       const Entry& entry = oldest->second;
-      const bool over = now > entry.return_at + kGrace || now > entry.known_since + kLifetime;
+      const bool over =
+          now > entry.return_at + kArrivalGrace || now > entry.recorded_at + kLifetime;
       if (!over) return;
       release(entry);
       entries_.erase(oldest);
--- a/src/admission/returning_callers.h
+++ b/src/admission/returning_callers.h
@@ -1,5 +1,5 @@
 /// @file
-/// Callers of the zone that were told to come back, known by what they ask.
+/// Retry bookings of a zone, identified by request content.
 #pragma once
 
 #include <cstddef>
@@ -15,36 +15,38 @@
 
 namespace stoathold {
 
-/// A bounded table, shared in the zone by reports. Only nodes write it: a caller gains by it only
-/// what the node told it, once, and not before its time. Used on one thread.
+/// A bounded table of booked retries, shared within the zone by reports. Only nodes write to it, so
+/// a caller can use only a booking that a node gave it, once, and not before its time. Used on one
+/// thread.
 class ReturningCallers {
  public:
-  /// A caller is told to come back.
+  /// Books a retry for a rejected request.
   void tell(std::uint64_t content, std::uint64_t service, TimePoint return_at, TimePoint now);
-  /// A request came. Cheap while nobody was told.
-  /// @return whether its caller was told to come by now; the next one that is the same was not.
+  /// Consumes the booking of an arriving request. Cheap while there are no bookings.
+  /// @return whether the request is a booked retry that is due. A further copy of it is not.
   bool take(std::uint64_t content, TimePoint now);
-  /// Whether nobody is expected: the content of a request need not be known then.
+  /// Returns whether there are no bookings; the content of a request need not be hashed then.
   [[nodiscard]] bool empty() const { return entries_.empty(); }
-  /// Returns how many are expected in the `kBookingBin` that holds a moment.
+  /// Returns the number of retries booked in the `kBookingBin` that contains a time.
   [[nodiscard]] std::uint32_t expected_at(std::uint64_t service, TimePoint at) const;
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
-  /// Returns what other nodes should know, at most `most` entries; each is reported some times.
-  [[nodiscard]] std::vector<ReturnReport> report(std::size_t most, TimePoint now);
-  /// Takes a report of another node.
+  /// Returns up to `max_count` entries to report to other nodes; each entry is reported several
+  /// times.
+  [[nodiscard]] std::vector<ReturnReport> report(std::size_t max_count, TimePoint now);
+  /// Applies a report of another node.
   void take_report(const ReturnReport& report, TimePoint now);
-  /// Forgets those whose time is over.
+  /// Removes expired bookings.
   void expire(TimePoint now);
 
-  /// Returns are planned in bins of this length.
+  /// Length of the bins in which retries are booked.
   static constexpr Duration kBookingBin = std::chrono::milliseconds(100);
 
  private:
   struct Entry {
     std::uint64_t service = 0;
     TimePoint return_at{};
-    TimePoint known_since{};
+    TimePoint recorded_at{};
     bool came = false;
   };
   struct Outgoing {
@@ -63,9 +65,9 @@
   void add(std::uint64_t content, const Entry& entry);
   void release(const Entry& entry);
 
-  std::unordered_map<std::uint64_t, Entry> entries_;  ///< By content.
-  std::deque<std::uint64_t> by_age_;  ///< Contents, in the order in which they came.
-  std::map<Bin, std::uint32_t> expected_;
+  std::unordered_map<std::uint64_t, Entry> entries_;  ///< By content hash.
+  std::deque<std::uint64_t> by_age_;                  ///< Content hashes, oldest entry first.
+  std::map<Bin, std::uint32_t> booked_counts_;
   std::deque<Outgoing> outgoing_;
 };
 
--- a/src/admission/share_ledger.h
+++ b/src/admission/share_ledger.h
@@ -1,11 +1,11 @@
 /// @file
-/// Slot time that tenants were given lately, over all nodes that share a service's slots.
+/// Recent slot time of tenants over all nodes that share a service's slots.
 ///
-/// Each node counts what it gave itself, in counters that only rise, and learns the others'
-/// counters from their digests. Only differences count: a lost report is made up for by the next
-/// one, a late or doubled one changes nothing, and a node that begins again counts from what it
-/// reports first. Use is forgotten over some seconds, so that nobody gains by having been idle for
-/// long, and nobody pays for long for slots that nobody else wanted.
+/// Each node counts the slot time that it granted in counters that only increase, and receives the
+/// counters of the other nodes in their digests. Only differences are used: a lost report is made
+/// up for by the next one, a late or duplicate one changes nothing, and a restarted node is counted
+/// from its first report on. Use decays over some seconds, so that no tenant gains from having been
+/// idle for long or is penalized for long for slots that nobody else needed.
 #pragma once
 
 #include <cstdint>
@@ -19,50 +19,51 @@
 
 namespace stoathold {
 
-/// A tenant at a service, by hashes of their names.
+/// A tenant at a service, identified by the hashes of their names.
 struct ShareKey {
-  std::uint64_t service = 0;  ///< Of the service and the class of work.
+  std::uint64_t service = 0;  ///< Hash of the service and the class of work.
   std::uint64_t tenant = 0;
 
   bool operator==(const ShareKey&) const = default;
 };
 
-/// Time in which use falls to 1/e of itself: as long as the limits on tenants remember requests.
-/// Shares are evened out over the swings of arrivals, not inside one.
-inline constexpr Duration kShareMemory = std::chrono::seconds(3);
+/// Time in which use decays to 1/e, the same as for requests in the rate limits of tenants. Shares
+/// are balanced over several oscillations of arrivals, not within one.
+inline constexpr Duration kUsageDecayTime = std::chrono::seconds(3);
 
-/// Use by tenant and service, as this node knows it. Used on one thread.
+/// Slot time used by tenant and service, as known to this node. Used on one thread.
 class ShareLedger {
  public:
-  /// What all tenants of a service have together.
+  /// Sum over all tenants of a service.
   struct Total {
-    double seconds = 0;  ///< Slot time, that of requests that wait here included.
-    double weight = 0;   ///< Of the tenants that have any.
+    double seconds = 0;  ///< Slot time, including that of requests waiting here.
+    double weight = 0;   ///< Sum of the weights of the tenants with any use.
   };
 
-  /// Sets tenants' weights; those not named weigh 1.
+  /// Sets the weights of tenants; all others have weight 1.
   void set_weights(std::unordered_map<std::uint64_t, double> weights);
   [[nodiscard]] double weight_of(std::uint64_t tenant) const;
 
-  /// A request waits at this node.
+  /// Adds a request that waits at this node.
   void wait(const ShareKey& key, Duration slot_time, TimePoint now);
-  /// It waits no longer.
+  /// Removes a request that no longer waits.
   void end_wait(const ShareKey& key, Duration slot_time);
-  /// A request was given a slot by this node.
+  /// Charges a request that got a slot from this node.
   void use(const ShareKey& key, Duration slot_time, TimePoint now);
 
-  /// Takes another node's counter.
-  /// @param node the sender's name, another one after each start.
+  /// Applies another node's counter.
+  /// @param node id of the sender, which changes with each start.
   void take(std::uint64_t node, const ShareUse& report, TimePoint now);
-  /// Returns this node's counters that changed within `age`, the newest first, at most `most`.
-  [[nodiscard]] std::vector<ShareUse> changes(Duration age, std::size_t most, TimePoint now) const;
+  /// Returns this node's counters that changed within `age`, newest first, at most `max_count`.
+  [[nodiscard]] std::vector<ShareUse> changes(Duration age, std::size_t max_count,
+                                              TimePoint now) const;
 
-  /// Returns the slot time in seconds that the tenant was given lately, and waits for here.
+  /// Returns the tenant's recent slot time plus that of its requests waiting here, in seconds.
   [[nodiscard]] double seconds(const ShareKey& key, TimePoint now) const;
-  /// Returns what waits here for the tenant, in seconds of slot time.
+  /// Returns the slot time of the tenant's requests waiting here, in seconds.
   [[nodiscard]] double waiting_seconds(const ShareKey& key) const;
   [[nodiscard]] Total total(std::uint64_t service, TimePoint now) const;
-  /// Forgets nodes and tenants of which nothing was heard for long; called now and then.
+  /// Removes nodes and tenants that have been inactive for long; called periodically.
   void forget(TimePoint now);
   [[nodiscard]] std::size_t size() const { return shares_.size(); }
 
@@ -73,18 +74,18 @@
     }
   };
   struct Share {
-    DecayingCount lately{kShareMemory};  ///< Seconds, of all nodes.
-    double waiting = 0;                  ///< Seconds, at this node.
-    double given_ms = 0;                 ///< By this node.
+    DecayingCount recent{kUsageDecayTime};  ///< Seconds, over all nodes.
+    double waiting = 0;                     ///< Seconds, at this node.
+    double granted_ms = 0;                  ///< Granted by this node.
     TimePoint changed{};
   };
-  /// Another node's counter.
+  /// Latest counter value of another node.
   struct Counter {
     std::uint32_t slot_ms = 0;
-    TimePoint risen{};
+    TimePoint increased_at{};
   };
   struct Node {
-    TimePoint heard{};
+    TimePoint last_heard{};
     std::unordered_map<ShareKey, Counter, KeyHash> counters;
   };
   struct Change {
@@ -93,13 +94,13 @@
   };
   using Shares = std::unordered_map<ShareKey, Share, KeyHash>;
 
-  /// Returns the share, made if there is room; null if there is none.
+  /// Returns the share, creating it if the table is not full; null otherwise.
   Share* share_of(const ShareKey& key, TimePoint now);
 
   Shares shares_;
   std::unordered_map<std::uint64_t, Node> nodes_;
   std::unordered_map<std::uint64_t, double> weights_;
-  std::deque<Change> own_changes_;  ///< The oldest first.
+  std::deque<Change> own_changes_;  ///< Oldest first.
 };
 
 }  // namespace stoathold
--- a/src/admission/shared_room.cc
+++ b/src/admission/shared_room.cc
@@ -3,14 +3,14 @@
 namespace stoathold {
 namespace {
 
-/// How many times what is free one service, one tenant and one job may hold. One job alone gets two
-/// thirds of the room, one tenant alone three quarters and one service alone four fifths: whatever
-/// one does, there is room for another job, another tenant and another service.
+/// Multiples of the free budget that one service, one tenant and one job may hold. One job alone
+/// gets up to two thirds of the budget, one tenant three quarters and one service four fifths,
+/// which always leaves some of the budget for another job, tenant or service.
 constexpr double kServiceFactor = 4;
 constexpr double kTenantFactor = 3;
 constexpr double kJobFactor = 2;
-/// Below this nothing is held: what sums of fractions leave.
-constexpr double kNothing = 1e-6;
+/// Smaller amounts are rounding errors and count as 0.
+constexpr double kEpsilon = 1e-6;
 
 }  // namespace
 
@@ -26,7 +26,7 @@
 void SharedRoom::change(Amounts& amounts, std::uint64_t name, double difference) {
   const auto position = amounts.try_emplace(name, 0).first;
   position->second += difference;
-  if (position->second < kNothing) amounts.erase(position);
+  if (position->second < kEpsilon) amounts.erase(position);
 }
 
 bool SharedRoom::may_take(const RoomHolder& holder) const {
--- a/src/admission/shared_room.h
+++ b/src/admission/shared_room.h
@@ -1,10 +1,10 @@
 /// @file
-/// Room that many compete for and that nobody can be made to give back.
+/// A budget that many owners share and that cannot be reclaimed from them.
 ///
-/// A dynamic threshold, as switches use for buffers that ports share: each may hold at most a
-/// multiple of what is still free. One alone gets nearly everything; the more hold a lot, the
-/// smaller the part of each, and something always stays free for who comes next. So work of one
-/// that cannot go on, however much there is of it, never keeps the others' work out.
+/// Uses dynamic thresholds, as switches do for buffers shared by their ports: each owner may hold
+/// at most a multiple of what is still free. A single owner gets nearly everything. The more owners
+/// hold a lot, the smaller the part of each, and something always stays free for the next one. So
+/// stuck work of one owner, however much there is, never blocks the work of the others.
 #pragma once
 
 #include <cstdint>
@@ -12,29 +12,29 @@
 
 namespace stoathold {
 
-/// Whose work it is that takes room, by hashes of the names.
+/// Service, tenant and job that use the budget, identified by the hashes of their names.
 struct RoomHolder {
   std::uint64_t service = 0;
   std::uint64_t tenant = 0;
   std::uint64_t job = 0;
 };
 
-/// Bounds what one service, one tenant and one job hold of something that is counted. Used on one
+/// Limits how much of a countable resource one service, one tenant and one job hold. Used on one
 /// thread.
 class SharedRoom {
  public:
-  /// @param size the most that all may hold together, in any unit.
+  /// @param size maximum that all owners may hold together, in any unit.
   explicit SharedRoom(double size) : size_(size) {}
 
-  /// Returns whether a holder may take more now. A service that holds nothing yet may always begin:
-  /// there are as many as the configuration names.
+  /// Returns whether an owner may acquire more now. A service that holds nothing may always acquire
+  /// some: the number of services is bounded by the configuration.
   [[nodiscard]] bool may_take(const RoomHolder& holder) const;
   void take(const RoomHolder& holder, double amount);
   void give_back(const RoomHolder& holder, double amount);
 
   void set_size(double size) { size_ = size; }
   [[nodiscard]] double held() const { return held_; }
-  /// Returns the size of the room in which one job alone gets so much.
+  /// Returns the budget size with which a single job can hold this amount.
   static double size_for_one_job(double amount);
 
  private:
--- a/src/admission/slot_times.cc
+++ b/src/admission/slot_times.cc
@@ -3,17 +3,18 @@
 namespace stoathold {
 namespace {
 
-/// Part of a new sample in the mean: the last 20 count, some seconds of a node's requests.
-constexpr double kNewPart = 0.05;
-/// Routes that are remembered; a configuration has some tens.
-constexpr std::size_t kMostRoutes = 256;
+/// Smoothing factor of the mean: averages about the last 20 samples, which cover some seconds of a
+/// node's requests.
+constexpr double kSmoothing = 0.05;
+/// Maximum number of tracked routes; a configuration has some dozens.
+constexpr std::size_t kMaxRoutes = 256;
 
 }  // namespace
 
 void SlotTimes::observe(const std::string& route, Duration held) {
-  if (means_.size() >= kMostRoutes && !means_.contains(route)) means_.clear();
+  if (means_.size() >= kMaxRoutes && !means_.contains(route)) means_.clear();
   const auto [entry, added] = means_.try_emplace(route, held);
-  if (!added) entry->second += scale(held - entry->second, kNewPart);
+  if (!added) entry->second += scale(held - entry->second, kSmoothing);
 }
 
 Duration SlotTimes::expected(const std::string& route) const {
--- a/src/admission/slot_times.h
+++ b/src/admission/slot_times.h
@@ -1,5 +1,5 @@
 /// @file
-/// How long requests of a route hold a slot, as seen by this node.
+/// Estimates for how long the requests of a route hold a slot, as observed at this node.
 #pragma once
 
 #include <map>
@@ -9,11 +9,11 @@
 
 namespace stoathold {
 
-/// Means by route, since requests of one route are alike in length. Used on one thread.
+/// Mean slot time by route, because requests of one route take similar time. Used on one thread.
 class SlotTimes {
  public:
   void observe(const std::string& route, Duration held);
-  /// Returns the mean of a route; 0 if nothing is known.
+  /// Returns the mean of a route; 0 if unknown.
   [[nodiscard]] Duration expected(const std::string& route) const;
 
  private:
--- a/src/admission/zone_backlog.cc
+++ b/src/admission/zone_backlog.cc
@@ -7,19 +7,20 @@
 namespace stoathold {
 namespace {
 
-/// A node at which work waits reports each 20 ms and every 0.5 s at least else. What it said
-/// longer ago than this no longer counts as waiting: without it more is admitted, not less.
+/// A node with waiting work reports every 20 ms, any other node at least every 0.5 s. Waiting work
+/// in older reports than this is ignored, which leads to more admissions, not fewer.
 constexpr Duration kReportLifetime = std::chrono::milliseconds(250);
-/// Counters over a longer gap (a node was cut off, or this one suspended) give no rate of now.
-constexpr Duration kLongestGap = std::chrono::milliseconds(700);
-/// A node that is silent for so long is gone.
+/// After a longer gap between reports, because a node was partitioned or this one suspended, the
+/// difference of the counters does not give a current rate.
+constexpr Duration kMaxReportGap = std::chrono::milliseconds(700);
+/// A node that has been silent for this long is considered gone.
 constexpr Duration kPeerLifetime = std::chrono::seconds(3);
-/// A counter that went on by more than this has begun anew, or the report came out of order.
-constexpr std::uint32_t kLargestDifference = 1U << 20U;
-/// Fewer samples say nothing of the time that a request holds a slot.
-constexpr std::uint32_t kFewestFreed = 8;
-/// Services of which figures are kept; a fleet has some tens.
-constexpr std::size_t kMostServices = 256;
+/// A larger increase means that the counter was reset or that the report is out of order.
+constexpr std::uint32_t kMaxCounterIncrease = 1U << 20U;
+/// Minimum number of samples for a mean slot time.
+constexpr std::uint32_t kMinFreedSlots = 8;
+/// Maximum number of tracked services; a fleet has some dozens.
+constexpr std::size_t kMaxServices = 256;
 
 std::uint32_t to_ms(Duration duration) {
   return saturated<std::uint32_t>(
@@ -30,20 +31,20 @@
   return now.time_since_epoch() / ArrivalSwing::kBin + 1;
 }
 
-/// Returns by how much a counter went on; 0 if it did not.
-std::uint32_t difference(std::uint32_t before, std::uint32_t after) {
-  const std::uint32_t difference = after - before;
-  return difference <= kLargestDifference ? difference : 0;
+/// Returns the increase of a counter; 0 if it did not increase.
+std::uint32_t counter_increase(std::uint32_t before, std::uint32_t after) {
+  const std::uint32_t counter_increase = after - before;
+  return counter_increase <= kMaxCounterIncrease ? counter_increase : 0;
 }
 
 }  // namespace
 
 ZoneBacklog::ServiceState& ZoneBacklog::advance(std::uint64_t service, TimePoint now) {
-  if (services_.size() >= kMostServices && !services_.contains(service)) services_.clear();
+  if (services_.size() >= kMaxServices && !services_.contains(service)) services_.clear();
   ServiceState& state = services_[service];
   const std::int64_t bin = bin_of(now);
   if (state.current_bin == 0) state.current_bin = bin;
-  // After a long silence what was counted before says nothing of now.
+  // After a long gap the earlier counts are obsolete.
   if (bin - state.current_bin > static_cast<std::int64_t>(kBins)) {
     state = ServiceState{};
     state.current_bin = bin;
@@ -58,13 +59,13 @@
 }
 
 void ZoneBacklog::count_arrival(std::uint64_t service, std::uint8_t priority, TimePoint now) {
-  ++own_[{service, priority}].arrivals;
+  ++own_counters_[{service, priority}].arrivals;
   ++advance(service, now).bin().arrivals;
 }
 
 void ZoneBacklog::count_freed(std::uint64_t service, std::uint8_t priority, Duration held,
                               TimePoint now) {
-  ServiceBacklog& own = own_[{service, priority}];
+  ServiceBacklog& own = own_counters_[{service, priority}];
   ++own.freed_slots;
   own.freed_slot_ms += to_ms(held);
   Bin& bin = advance(service, now).bin();
@@ -74,7 +75,7 @@
 
 std::vector<ServiceBacklog> ZoneBacklog::report(const std::map<Group, QueuedWork>& waiting) const {
   std::vector<ServiceBacklog> entries;
-  for (const auto& [group, counters] : own_) {
+  for (const auto& [group, counters] : own_counters_) {
     ServiceBacklog entry = counters;
     entry.service = group.service;
     entry.priority = group.priority;
@@ -90,33 +91,33 @@
 
 void ZoneBacklog::take(std::uint64_t sender, const std::vector<ServiceBacklog>& report,
                        TimePoint now) {
-  forget_silent(now);
+  expire_peers(now);
   PeerReport& state = peers_[sender];
   const bool known = state.received != TimePoint{};
-  if (known && now - state.received <= kLongestGap) count_differences(state, report, now);
+  if (known && now - state.received <= kMaxReportGap) record_increases(state, report, now);
   state.received = now;
   state.entries = report;
 }
 
-void ZoneBacklog::count_differences(const PeerReport& before,
-                                    const std::vector<ServiceBacklog>& after, TimePoint now) {
+void ZoneBacklog::record_increases(const PeerReport& before,
+                                   const std::vector<ServiceBacklog>& after, TimePoint now) {
   for (const ServiceBacklog& entry : after) {
     const auto old = std::find_if(
         before.entries.begin(), before.entries.end(), [&entry](const ServiceBacklog& candidate) {
           return candidate.service == entry.service && candidate.priority == entry.priority;
         });
-    // Of a group that was not reported before, all was counted since.
+    // Counters of a group without an earlier report start at 0.
     const ServiceBacklog none;
     const ServiceBacklog& base = old == before.entries.end() ? none : *old;
     Bin& bin = advance(entry.service, now).bin();
-    bin.arrivals += difference(base.arrivals, entry.arrivals);
-    const std::uint32_t freed = difference(base.freed_slots, entry.freed_slots);
+    bin.arrivals += counter_increase(base.arrivals, entry.arrivals);
+    const std::uint32_t freed = counter_increase(base.freed_slots, entry.freed_slots);
     bin.freed += freed;
     if (freed > 0) bin.freed_ms += entry.freed_slot_ms - base.freed_slot_ms;
   }
 }
 
-void ZoneBacklog::forget_silent(TimePoint now) {
+void ZoneBacklog::expire_peers(TimePoint now) {
   std::erase_if(peers_,
                 [now](const auto& entry) { return now - entry.second.received > kPeerLifetime; });
 }
@@ -141,7 +142,7 @@
     freed_ms += bin.freed_ms;
   }
   figures.freed_per_second = freed / (to_seconds(ArrivalSwing::kBin) * kBins);
-  if (freed >= kFewestFreed) {
+  if (freed >= kMinFreedSlots) {
     figures.slot_time = std::chrono::milliseconds(static_cast<std::int64_t>(freed_ms / freed));
   }
   return figures;
--- a/src/admission/zone_backlog.h
+++ b/src/admission/zone_backlog.h
@@ -1,5 +1,5 @@
 /// @file
-/// What waits for each service in the zone, how fast slots come free, and what arrives.
+/// Queued work, slot release rate and arrivals of each service in the zone.
 #pragma once
 
 #include <array>
@@ -15,7 +15,7 @@
 
 namespace stoathold {
 
-/// Work that waits, as its number of requests and the slot time that it will take.
+/// Queued work as a number of requests and their predicted slot time.
 struct QueuedWork {
   std::uint32_t requests = 0;
   Duration slot_time{0};
@@ -27,25 +27,26 @@
   }
 };
 
-/// Figures of one service in the zone.
+/// Statistics of one service in the zone.
 struct ServiceFigures {
-  QueuedWork peers;                   ///< In time, at least as urgent, at the other nodes.
-  Duration oldest_report{0};          ///< Age of the oldest of their reports that counts.
-  std::optional<Duration> slot_time;  ///< Mean for which a request holds a slot; nothing: unknown.
-  double freed_per_second = 0;        ///< Slots that requests gave back.
+  QueuedWork peers;           ///< On-time work at the other nodes of at least the same urgency.
+  Duration oldest_report{0};  ///< Age of the oldest of their reports that was counted.
+  std::optional<Duration>
+      slot_time;                ///< Mean time for which a request holds a slot; empty if unknown.
+  double freed_per_second = 0;  ///< Slots released by requests.
 };
 
-/// Sums of the newest reports of the zone's nodes, and rates from their counters' differences.
-/// Memory is bounded: nodes that are silent and services without news are forgotten. Times passed
-/// in rise. Used on one thread.
+/// Aggregates the latest reports of the zone's nodes, and computes rates from the differences of
+/// their counters. Memory is bounded: silent nodes and inactive services are removed. Times passed
+/// in must not decrease. Used on one thread.
 class ZoneBacklog {
  public:
-  /// A request for the service came to this node.
+  /// Records a request for the service that arrived at this node.
   void count_arrival(std::uint64_t service, std::uint8_t priority, TimePoint now);
-  /// A request of this node gave a slot back that it had held for so long.
+  /// Records that a request of this node released a slot after holding it for `held`.
   void count_freed(std::uint64_t service, std::uint8_t priority, Duration held, TimePoint now);
   /// Returns this node's report.
-  /// @param waiting what waits here in time, by service and priority.
+  /// @param waiting on-time work that waits here, by service and priority.
   struct Group {
     std::uint64_t service = 0;
     std::uint8_t priority = 0;
@@ -55,16 +56,16 @@
   };
   [[nodiscard]] std::vector<ServiceBacklog> report(
       const std::map<Group, QueuedWork>& waiting) const;
-  /// Takes a report of another node.
+  /// Applies a report of another node.
   void take(std::uint64_t sender, const std::vector<ServiceBacklog>& report, TimePoint now);
 
-  /// Returns the figures for work of a priority.
+  /// Returns the statistics that apply to work of a priority.
   [[nodiscard]] ServiceFigures figures(std::uint64_t service, std::uint8_t priority, TimePoint now);
-  /// Returns the swing of a service's arrivals in the zone; null: none came lately.
+  /// Returns the forecaster of a service's arrivals in the zone; null if there were none recently.
   [[nodiscard]] const ArrivalSwing* swing(std::uint64_t service, TimePoint now);
 
  private:
-  /// Counts over the last seconds, in bins.
+  /// Counts of one time bin.
   struct Bin {
     std::uint32_t arrivals = 0;
     std::uint32_t freed = 0;
@@ -73,10 +74,10 @@
   static constexpr std::size_t kBins = 20;
   struct ServiceState {
     std::array<Bin, kBins> bins{};
-    std::int64_t current_bin = 0;  ///< Number of the bin that counts now; 0: none yet.
+    std::int64_t current_bin = 0;  ///< Number of the current bin; 0 if there is none yet.
     ArrivalSwing swing;
 
-    /// The bin that counts now.
+    /// Returns the current bin.
     Bin& bin() { return bins.at(static_cast<std::size_t>(current_bin) % kBins); }
   };
   struct PeerReport {
@@ -85,11 +86,11 @@
   };
 
   ServiceState& advance(std::uint64_t service, TimePoint now);
-  void count_differences(const PeerReport& before, const std::vector<ServiceBacklog>& after,
-                         TimePoint now);
-  void forget_silent(TimePoint now);
+  void record_increases(const PeerReport& before, const std::vector<ServiceBacklog>& after,
+                        TimePoint now);
+  void expire_peers(TimePoint now);
 
-  std::map<Group, ServiceBacklog> own_;
+  std::map<Group, ServiceBacklog> own_counters_;
   std::map<std::uint64_t, PeerReport> peers_;  ///< By sender.
   std::map<std::uint64_t, ServiceState> services_;
 };
--- a/tests/admission/admission_control_test.cc
+++ b/tests/admission/admission_control_test.cc
@@ -65,7 +65,7 @@
 // Sent away after a long wait, a caller would be served later than if it waited on.
 TEST_F(AdmissionControlTest, WhoHasWaitedStaysIfALateSlotComesBeforeItsReturn) {
   WaitReview review = newcomer(400 * kMs);
-  review.forecast->to_idle = 200 * kMs;
+  review.forecast->time_to_drain = 200 * kMs;
   EXPECT_EQ(review_wait(review, now), RejectionReason::kOverloaded);
   EXPECT_FALSE(review_wait(review, now + 200 * kMs));
   review.retry_after = 150 * kMs;
@@ -75,7 +75,7 @@
 // Longer than the objective, the forecast of a late slot is a guess.
 TEST_F(AdmissionControlTest, WhoHasWaitedDoesNotStayForALateSlotThatIsFarOff) {
   WaitReview review = newcomer(400 * kMs);
-  review.forecast->to_idle = 500 * kMs;
+  review.forecast->time_to_drain = 500 * kMs;
   EXPECT_EQ(review_wait(review, now + 200 * kMs), RejectionReason::kOverloaded);
 }
 
@@ -88,8 +88,8 @@
   ASSERT_TRUE(forecast);
   EXPECT_EQ(forecast->ahead, 69U);
   EXPECT_NEAR(to_seconds(forecast->wait), 69 * 0.7 / 120, 0.001);
-  ASSERT_TRUE(forecast->to_idle);
-  EXPECT_NEAR(to_seconds(*forecast->to_idle), 70 / (120 / 0.7 - 100), 0.001);
+  ASSERT_TRUE(forecast->time_to_drain);
+  EXPECT_NEAR(to_seconds(*forecast->time_to_drain), 70 / (120 / 0.7 - 100), 0.001);
   // The first of ten here has a tenth of the zone's before it.
   const QueuePosition first{.ahead = {}, .all = {10, 10 * 700 * kMs}};
   EXPECT_EQ(predict_wait(first, figures, {.zone = 120}, 100)->ahead, 6U);
--- a/tests/admission/fair_turns_test.cc
+++ b/tests/admission/fair_turns_test.cc
@@ -164,7 +164,7 @@
 
 TEST_F(FairTurnsOfOneNodeTest, WhatWasUsedWhileNobodyElseCameIsForgotten) {
   serve(400, 1);
-  now += 3 * kShareMemory;
+  now += 3 * kUsageDecayTime;
   for (int i = 0; i < 20; ++i) {
     now += milliseconds(300);
     serve(3, 1);
--- a/tests/admission/share_ledger_test.cc
+++ b/tests/admission/share_ledger_test.cc
@@ -105,7 +105,7 @@
 
 TEST_F(ShareLedgerTest, UseIsForgotten) {
   ledger.use(kAlder, seconds(10), now);
-  now += 4 * kShareMemory;
+  now += 4 * kUsageDecayTime;
   EXPECT_LT(alder(), 0.2);
   now += seconds(30);
   ledger.forget(now);
