--- a/src/tenancy/tenant.h
+++ b/src/tenancy/tenant.h
@@ -1,5 +1,5 @@
 /// @file
-/// Tenants: who the callers are, with what they prove it, and how much each may ask.
+/// Tenants: the identities, API keys and limits of callers.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +9,21 @@
 
 namespace stoathold {
 
-/// How many requests a tenant may have admitted, over all nodes together.
+/// Limit on a tenant's admitted requests over all nodes together.
 struct RateLimit {
-  double per_second = 0;  ///< Requests; 0: no limit.
-  double burst = 0;       ///< Requests on top at any moment.
+  double per_second = 0;  ///< Requests per second; 0 means no limit.
+  double burst = 0;       ///< Additional requests that may be admitted at once.
 
   [[nodiscard]] bool unlimited() const { return per_second <= 0; }
   bool operator==(const RateLimit&) const = default;
 };
 
-/// A tenant as one version of the configuration shows it.
+/// A tenant as defined by one version of the configuration.
 struct Tenant {
   std::string name;
-  std::vector<std::string> keys;          ///< Secrets; never written to a log, metric or error.
-  std::optional<std::uint32_t> priority;  ///< Goes before that of a route; 0 is the most urgent.
+  std::vector<std::string> keys;  ///< Secret API keys; never written to a log, metric or error.
+  /// Overrides the priority of the route; 0 is the most urgent.
+  std::optional<std::uint32_t> priority;
   RateLimit limit;
 };
 
--- a/src/tenancy/tenant_directory.h
+++ b/src/tenancy/tenant_directory.h
@@ -1,5 +1,5 @@
 /// @file
-/// Finds the tenant that a key belongs to, and says whether a caller may use a route.
+/// Looks up tenants by API key and checks whether a caller may use a route.
 #pragma once
 
 #include <cstddef>
@@ -13,30 +13,31 @@
 
 namespace stoathold {
 
-/// What is known of a caller.
+/// Result of identifying a caller.
 enum class CallerStatus : std::uint8_t {
   kAllowed,     ///< May use the route.
-  kKeyMissing,  ///< Sent no key, and the route wants one.
-  kKeyUnknown,  ///< Sent a key that no tenant has.
+  kKeyMissing,  ///< Sent no key, but the route requires one.
+  kKeyUnknown,  ///< Sent a key that belongs to no tenant.
 };
 
 /// Returns the status' name for logs.
 std::string_view to_string(CallerStatus status);
 
-/// A caller as the configuration in force knows it.
+/// A caller as identified by the current configuration.
 struct CallerIdentity {
   CallerStatus status = CallerStatus::kAllowed;
-  const Tenant* tenant = nullptr;  ///< Null: anonymous. Valid as long as the directory.
+  const Tenant* tenant = nullptr;  ///< Null if anonymous. Valid for the lifetime of the directory.
 
   [[nodiscard]] bool allowed() const { return status == CallerStatus::kAllowed; }
   /// Returns the tenant's name; empty if the caller is anonymous.
   [[nodiscard]] std::string tenant_name() const { return tenant == nullptr ? "" : tenant->name; }
 };
 
-/// The tenants of one version of the configuration. Immutable once published; read by any thread.
+/// The tenants of one version of the configuration. Immutable after publication and readable from
+/// any thread.
 ///
-/// Without tenants every caller is anonymous and may use every route: a deployment that knows none
-/// asks for no keys.
+/// Without tenants every caller is anonymous and may use every route, because a deployment that
+/// defines no tenants requires no keys.
 class TenantDirectory {
  public:
   TenantDirectory() = default;
@@ -54,7 +55,7 @@
   std::unordered_map<std::string, std::size_t> index_by_key_;
 };
 
-/// Returns a short hash of a key, by which log lines can be matched without giving the key away.
+/// Returns a short hash of a key, which allows log lines to be matched without revealing the key.
 std::string key_fingerprint(std::string_view key);
 
 }  // namespace stoathold
--- a/src/tenancy/tenant_gossip.cc
+++ b/src/tenancy/tenant_gossip.cc
@@ -3,45 +3,47 @@
 namespace stoathold {
 namespace {
 
-/// Counters that changed within this time are repeated in each message: some may be lost.
-constexpr Duration kRepeated = std::chrono::milliseconds(250);
-/// The same for the reports that go out once a second.
-constexpr Duration kRepeatedThoroughly = std::chrono::seconds(6);
-/// Most counters in a digest, which must stay below the size of a datagram beside the loads.
-constexpr std::size_t kMostInDigest = 24;
-/// Most counters in a report to another zone: 60 of 20 bytes fit into a datagram.
-constexpr std::size_t kMostInZoneReport = 48;
-/// A node of the zone is reported as alive if it was heard within this time: four digests.
-constexpr Duration kAlive = std::chrono::milliseconds(250);
-/// A node that left is named for so long: in ten reports, of which some are lost.
-constexpr Duration kLeaveRepeated = std::chrono::seconds(1);
-/// Most live nodes in a report to another zone.
-constexpr std::size_t kMostNodes = 40;
+/// Changed counters are repeated in each message for this long, because messages may be lost.
+constexpr Duration kRepeatTime = std::chrono::milliseconds(250);
+/// The same for the full reports, which are sent once a second.
+constexpr Duration kFullReportRepeatTime = std::chrono::seconds(6);
+/// Maximum number of counters in a digest, which must fit into a datagram together with the loads.
+constexpr std::size_t kMaxInDigest = 24;
+/// Maximum number of counters in a report to another zone: 60 counters of 20 bytes fit into a
+/// datagram.
+constexpr std::size_t kMaxInZoneReport = 48;
+/// A node of the zone is reported as alive if it was heard from within this time, which is that of
+/// four digests.
+constexpr Duration kAliveTimeout = std::chrono::milliseconds(250);
+/// A departed node is reported for this long: in ten reports, some of which are lost.
+constexpr Duration kLeaveRepeatTime = std::chrono::seconds(1);
+/// Maximum number of live nodes in a report to another zone.
+constexpr std::size_t kMaxNodes = 40;
 
 }  // namespace
 
-std::vector<TenantUsage> TenantGossip::make_report(bool thorough, TimePoint now) const {
+std::vector<TenantUsage> TenantGossip::make_report(bool full, TimePoint now) const {
   if (!needed()) return {};
-  return limits_.own_changes(thorough ? kRepeatedThoroughly : kRepeated, kMostInDigest, now);
+  return limits_.own_changes(full ? kFullReportRepeatTime : kRepeatTime, kMaxInDigest, now);
 }
 
 void TenantGossip::take_report(std::uint64_t node, const std::vector<TenantUsage>& uses,
                                TimePoint now) {
   zone_nodes_[node] = now;
-  zone_left_.erase(node);
-  for (const auto& usage : uses) limits_.take_usage(node, usage, now);
+  departed_zone_nodes_.erase(node);
+  for (const auto& usage : uses) limits_.apply_usage(node, usage, now);
   limits_.node_heard(node, now);
 }
 
 bool TenantGossip::take_leave(std::uint64_t node, const std::vector<TenantUsage>& uses,
                               TimePoint now) {
-  const bool news = !zone_left_.contains(node);
+  const bool is_new = !departed_zone_nodes_.contains(node);
   zone_nodes_.erase(node);
-  zone_left_[node] = now;
-  if (!news) return false;
-  // What it admitted last comes with the news, and counts.
-  for (const auto& usage : uses) limits_.take_usage(node, usage, now);
-  return limits_.node_left(node, now);
+  departed_zone_nodes_[node] = now;
+  if (!is_new) return false;
+  // The message carries the node's last admissions, which count as well.
+  for (const auto& usage : uses) limits_.apply_usage(node, usage, now);
+  return limits_.on_node_left(node, now);
 }
 
 ZoneTenantUsage TenantGossip::make_zone_report(TimePoint now) const {
@@ -49,17 +51,18 @@
   report.zone = zone_;
   report.pass_on = true;
   (leaving_ ? report.left : report.nodes).push_back(node_);
-  for (const auto& [node, said] : zone_left_) {
-    if (now - said <= kLeaveRepeated && report.left.size() < kMostNodes)
+  for (const auto& [node, left_at] : departed_zone_nodes_) {
+    if (now - left_at <= kLeaveRepeatTime && report.left.size() < kMaxNodes)
       report.left.push_back(node);
   }
-  for (const auto& [node, heard] : zone_nodes_) {
-    if (now - heard <= kAlive && report.nodes.size() < kMostNodes) report.nodes.push_back(node);
+  for (const auto& [node, last_heard] : zone_nodes_) {
+    if (now - last_heard <= kAliveTimeout && report.nodes.size() < kMaxNodes)
+      report.nodes.push_back(node);
   }
-  for (const auto& usage : limits_.own_changes(kRepeated, kMostInDigest, now)) {
+  for (const auto& usage : limits_.own_changes(kRepeatTime, kMaxInDigest, now)) {
     report.uses.push_back({node_, usage});
   }
-  const auto others = limits_.changes_of(report.nodes, kRepeated, kMostInZoneReport, now);
+  const auto others = limits_.changes_of(report.nodes, kRepeatTime, kMaxInZoneReport, now);
   report.uses.insert(report.uses.end(), others.begin(), others.end());
   return report;
 }
@@ -67,16 +70,18 @@
 void TenantGossip::take_zone_report(const ZoneTenantUsage& report, TimePoint now) {
   if (report.zone == zone_) return;
   for (const auto& use : report.uses) {
-    if (use.node != node_) limits_.take_usage(use.node, use.usage, now);
+    if (use.node != node_) limits_.apply_usage(use.node, use.usage, now);
   }
-  for (const std::uint64_t node : report.nodes) limits_.node_reported(node, now);
-  for (const std::uint64_t node : report.left) limits_.node_left(node, now);
+  for (const std::uint64_t node : report.nodes) limits_.on_node_reported(node, now);
+  for (const std::uint64_t node : report.left) limits_.on_node_left(node, now);
 }
 
 void TenantGossip::check_silence(TimePoint now) {
-  constexpr Duration kForgotten = std::chrono::seconds(20);
-  std::erase_if(zone_nodes_, [&](const auto& entry) { return now - entry.second > kForgotten; });
-  std::erase_if(zone_left_, [&](const auto& entry) { return now - entry.second > kForgotten; });
+  constexpr Duration kNodeRetention = std::chrono::seconds(20);
+  std::erase_if(zone_nodes_,
+                [&](const auto& entry) { return now - entry.second > kNodeRetention; });
+  std::erase_if(departed_zone_nodes_,
+                [&](const auto& entry) { return now - entry.second > kNodeRetention; });
   limits_.check_silence(now);
 }
 
--- a/src/tenancy/tenant_usage.h
+++ b/src/tenancy/tenant_usage.h
@@ -1,5 +1,5 @@
 /// @file
-/// What nodes report to one another about the requests that they admitted for tenants.
+/// Messages in which nodes report the requests that they admitted for tenants.
 #pragma once
 
 #include <cstdint>
@@ -7,10 +7,10 @@
 
 namespace stoathold {
 
-/// Requests that one node has admitted for a tenant since its process began.
+/// Requests that one node has admitted for a tenant since its process started.
 struct TenantUsage {
-  std::uint64_t tenant = 0;    ///< Hash of its name.
-  std::uint32_t admitted = 0;  ///< Wraps around; only differences count.
+  std::uint64_t tenant = 0;    ///< Hash of the tenant's name.
+  std::uint32_t admitted = 0;  ///< Wraps around; only differences are used.
 
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -18,9 +18,9 @@
   }
 };
 
-/// The same for a node that the sender of a message has heard from.
+/// Usage at a node from which the sender has received reports.
 struct NodeTenantUsage {
-  std::uint64_t node = 0;  ///< As in the node's own messages.
+  std::uint64_t node = 0;  ///< Id of the node, as in its own messages.
   TenantUsage usage;
 
   template <typename Archive>
@@ -29,13 +29,13 @@
   }
 };
 
-/// What a zone's nodes admitted, for the nodes of another zone.
+/// Usage at the nodes of a zone, reported to another zone.
 struct ZoneTenantUsage {
   std::uint64_t zone = 0;             ///< Hash of the sender's zone.
-  std::vector<std::uint64_t> nodes;   ///< Nodes of the zone that the sender hears.
-  std::vector<NodeTenantUsage> uses;  ///< Those that changed lately.
-  std::vector<std::uint64_t> left;    ///< Nodes of the zone that have just left as planned.
-  bool pass_on = false;               ///< The receiver passes it on inside its zone.
+  std::vector<std::uint64_t> nodes;   ///< Nodes of the zone that the sender hears from.
+  std::vector<NodeTenantUsage> uses;  ///< Recently changed counters.
+  std::vector<std::uint64_t> left;    ///< Nodes of the zone that recently left as planned.
+  bool pass_on = false;               ///< The receiver forwards the report within its zone.
 
   template <typename Archive>
   void serialize(Archive& archive) {
--- a/tests/admission/admission_replay.h
+++ b/tests/admission/admission_replay.h
@@ -65,13 +65,13 @@
   double p99_wait_ms = 0;             ///< Wait of the served attempt.
   double p99_rejection_delay_ms = 0;  ///< From certainty to the rejection.
   double rejected_despite_idle = 0;
-  double rejected_despite_batch =
-      0;  ///< While enough batch items held slots for the request and all requests ahead of it.
-          ///< Percentage of the slot time from second 8 on.
+  /// While enough batch items held slots for the request and all requests ahead of it. Percentage
+  /// of the slot time from second 8 on.
+  double rejected_despite_batch = 0;
   double idle_slots = 0;   ///< The same, held by batch items.
   double batch_slots = 0;  ///< Peak arrivals per second with retries, relative to those without.
-  double retry_peak_ratio =
-      0;  ///< Time from the preemption of a batch item until it ends at the runner.
+  /// Time from the preemption of a batch item until it ends at the runner.
+  double retry_peak_ratio = 0;
 };
 
 class Zone {
--- a/tests/tenancy/compare_limits.cc
+++ b/tests/tenancy/compare_limits.cc
@@ -1,4 +1,4 @@
-// Prints how three ways to hold tenants' limits over all nodes compare: `compare_limits [SEED...]`.
+// Compares three implementations of distributed tenant limits: `compare_limits [SEED...]`.
 #include <array>
 #include <cstdio>
 #include <cstdlib>
@@ -8,23 +8,24 @@
 namespace stoathold::limit_fleet {
 namespace {
 
-struct NamedPlay {
+struct NamedScenario {
   const char* name;
-  Play play;
+  Scenario scenario;
 };
 
-std::vector<NamedPlay> plays_of(std::size_t nodes, std::size_t zones, std::size_t tenants,
-                                double requests, std::uint64_t seed) {
-  const Play base{.nodes = nodes,
-                  .zones = zones,
-                  .tenants = tenants,
-                  .requests_per_second = requests,
-                  .seed = seed};
-  std::vector<NamedPlay> plays{{"even", base}, {"uneven", base}, {"flood", base}, {"cut", base}};
-  for (std::size_t i = 1; i < plays.size(); ++i) plays[i].play.skew = 1;
-  for (std::size_t i = 2; i < plays.size(); ++i) plays[i].play.flood_factor = 8;
-  plays[3].play.cut_part = 0.35;
-  return plays;
+std::vector<NamedScenario> scenarios_for(std::size_t nodes, std::size_t zones, std::size_t tenants,
+                                         double requests, std::uint64_t seed) {
+  const Scenario base{.nodes = nodes,
+                      .zones = zones,
+                      .tenants = tenants,
+                      .requests_per_second = requests,
+                      .seed = seed};
+  std::vector<NamedScenario> scenarios{
+      {"even", base}, {"uneven", base}, {"flood", base}, {"cut", base}};
+  for (std::size_t i = 1; i < scenarios.size(); ++i) scenarios[i].scenario.skew = 1;
+  for (std::size_t i = 2; i < scenarios.size(); ++i) scenarios[i].scenario.flood_factor = 8;
+  scenarios[3].scenario.partitioned_fraction = 0.35;
+  return scenarios;
 }
 
 void compare(std::uint64_t seed) {
@@ -34,18 +35,19 @@
   };
   constexpr std::array kSizes{Size{9, 3, 20, 120}, Size{61, 3, 73, 350}, Size{295, 15, 300, 1500},
                               Size{420, 21, 1000, 2100}};
-  constexpr std::array kWays{std::pair{"shares", Way::kShares}, std::pair{"grantor", Way::kGrantor},
-                             std::pair{"gossip", Way::kGossip}};
+  constexpr std::array kStrategies{std::pair{"shares", StrategyKind::kShares},
+                                   std::pair{"grantor", StrategyKind::kGrantor},
+                                   std::pair{"gossip", StrategyKind::kGossip}};
   for (const Size& size : kSizes) {
-    for (const auto& [name, what] :
-         plays_of(size.nodes, size.zones, size.tenants, size.requests, seed)) {
-      for (const auto& [way_name, way] : kWays) {
-        const Outcome outcome = play(what, way);
+    for (const auto& [name, scenario] :
+         scenarios_for(size.nodes, size.zones, size.tenants, size.requests, seed)) {
+      for (const auto& [strategy_name, kind] : kStrategies) {
+        const Outcome outcome = simulate(scenario, kind);
         std::printf(
             "%4zu nodes %-7s %-8s overshoot %5.2f  wrongly refused %6.2f  waited %6.1f  "
             "messages %6.1f\n",
-            size.nodes, name, way_name, outcome.overshoot, outcome.wrongly_refused, outcome.waited,
-            outcome.messages);
+            size.nodes, name, strategy_name, outcome.overshoot, outcome.excess_rejections,
+            outcome.waited, outcome.messages);
         std::fflush(stdout);
       }
     }
--- a/tests/tenancy/limit_fleet.h
+++ b/tests/tenancy/limit_fleet.h
@@ -1,6 +1,6 @@
 /// @file
-/// A fleet without sockets in which ways to hold tenants' limits are compared: arrivals, delays of
-/// messages between nodes, lost messages and cut nodes, all from one seed.
+/// Simulates a fleet without sockets to compare implementations of distributed rate limits.
+/// Arrivals, message delays, lost messages and partitioned nodes all derive from one seed.
 #pragma once
 
 #include <algorithm>
@@ -20,38 +20,42 @@
 
 namespace stoathold::limit_fleet {
 
-/// Time goes in steps of this length; a message takes one step inside a zone and two between zones.
+/// Length of a simulation step. A message takes one step within a zone and two between zones.
 inline constexpr Duration kStep = std::chrono::milliseconds(10);
-/// Part of the messages that is lost.
-inline constexpr double kLoss = 0.01;
-/// The rule that the users hold the fleet to, as their sheet states it.
+/// Fraction of messages that are lost.
+inline constexpr double kLossRate = 0.01;
+/// The limit that the users' requirements set for the fleet: per window, at most rate and burst,
+/// exceeded by 10% plus 20 requests.
 inline constexpr double kWindowSeconds = 5;
 inline constexpr double kOverage = 0.1;
 inline constexpr double kSlack = 20;
 
-/// What is played.
-struct Play {
+/// Parameters of a simulation.
+struct Scenario {
   std::size_t nodes = 61;
   std::size_t zones = 3;
   std::size_t tenants = 73;
-  double requests_per_second = 350;  ///< Of all tenants.
-  double skew = 0;                   ///< Exponent by which tenants differ in size; 0: all alike.
-  double limit_factor = 1.6;         ///< Limit over the usual rate; the burst is one second of it.
-  double flood_factor = 1;           ///< Of the largest tenant, from second 10 to 16.
-  double cut_part = 0;               ///< Nodes that are cut off from all others, second 8 to 20.
+  double requests_per_second = 350;  ///< Over all tenants.
+  double skew = 0;  ///< Exponent of the tenant size distribution; 0 if all have the same size.
+  double limit_factor = 1.6;  ///< Limit relative to the normal rate; the burst is one second of it.
+  double flood_factor = 1;    ///< Multiplies the rate of the largest tenant from second 10 to 16.
+  /// Fraction of nodes partitioned from all others from second 8 to 20.
+  double partitioned_fraction = 0;
   double seconds = 26;
   std::uint64_t seed = 1;
 };
 
-/// What came out.
+/// Results of a simulation.
 struct Outcome {
-  double overshoot = 0;        ///< Most admitted in a window over what the rule allows; 1: just so.
-  double wrongly_refused = 0;  ///< In 1,000 requests, more than one bucket for all would refuse.
-  double messages = 0;         ///< Sent by a node in a second.
-  double waited = 0;           ///< In 1,000 requests that had to wait for another node.
+  /// Maximum admitted in a window relative to the allowed number; at most 1 is allowed.
+  double overshoot = 0;
+  double excess_rejections =
+      0;                ///< Per 1,000 requests, beyond the rejections of a single global bucket.
+  double messages = 0;  ///< Sent per node and second.
+  double waited = 0;    ///< Per 1,000 requests, those that had to wait for another node.
 };
 
-/// One way to hold the limits.
+/// An implementation of the limits.
 class Strategy {
  public:
   virtual ~Strategy() = default;
@@ -61,20 +65,20 @@
   std::uint64_t waited = 0;
 };
 
-/// The fleet as all strategies see it: who is where, and who is cut off.
+/// Network shared by all strategies: the zones of the nodes and the partitioned nodes.
 struct Network {
   std::vector<std::size_t> zone_of;
-  std::vector<bool> cut;
+  std::vector<bool> partitioned;
   Random random{1};
   std::deque<std::pair<TimePoint, std::function<void(TimePoint)>>> near_messages;
   std::deque<std::pair<TimePoint, std::function<void(TimePoint)>>> far_messages;
 
   [[nodiscard]] bool reaches(std::size_t from, std::size_t to) const {
-    return from == to || (!cut[from] && !cut[to]);
+    return from == to || (!partitioned[from] && !partitioned[to]);
   }
   void send(std::size_t from, std::size_t to, TimePoint now,
             std::function<void(TimePoint)> deliver) {
-    if (!reaches(from, to) || random.unit() < kLoss) return;
+    if (!reaches(from, to) || random.unit() < kLossRate) return;
     const bool near = zone_of[from] == zone_of[to];
     auto& queue = near ? near_messages : far_messages;
     queue.emplace_back(now + (near ? kStep : 2 * kStep), std::move(deliver));
@@ -90,7 +94,7 @@
   }
 };
 
-/// The program's own way: counters by gossip, see `TenantLimits`.
+/// The production implementation: counters exchanged by gossip, see `TenantRateLimiter`.
 class GossipStrategy final : public Strategy {
  public:
   GossipStrategy(Network& network, const TenantDirectory& directory, std::size_t zones)
@@ -128,9 +132,9 @@
     bool changed = false;
   };
 
-  void send_report(std::size_t from, bool thorough, TimePoint now) {
+  void send_report(std::size_t from, bool full, TimePoint now) {
     const auto report =
-        std::make_shared<std::vector<TenantUsage>>(nodes_[from]->gossip.make_report(thorough, now));
+        std::make_shared<std::vector<TenantUsage>>(nodes_[from]->gossip.make_report(full, now));
     for (std::size_t to = 0; to < nodes_.size(); ++to) {
       if (to == from || network_.zone_of[to] != network_.zone_of[from]) continue;
       ++messages;
@@ -139,11 +143,11 @@
       });
     }
   }
-  /// Two nodes of each zone that are not cut off report to a random node of each other zone.
+  /// Two connected nodes of each zone report to a random node of each other zone.
   void report_zone(std::size_t zone, TimePoint now) {
     std::size_t reporters = 0;
     for (std::size_t i = 0; i < nodes_.size() && reporters < 2; ++i) {
-      if (network_.zone_of[i] != zone || network_.cut[i]) continue;
+      if (network_.zone_of[i] != zone || network_.partitioned[i]) continue;
       ++reporters;
       const auto report =
           std::make_shared<ZoneTenantUsage>(nodes_[i]->gossip.make_zone_report(now));
@@ -178,24 +182,24 @@
   std::vector<std::unique_ptr<Node>> nodes_;
 };
 
-/// A bucket of which the rate may change.
-struct PlainBucket {
+/// A token bucket with a variable rate.
+struct TokenBucket {
   double level = 0;
-  TimePoint filled{};
+  TimePoint refilled_at{};
 
   bool take(double rate, double burst, TimePoint now) {
-    fill(rate, burst, now);
+    refill(rate, burst, now);
     if (level < 1) return false;
     level -= 1;
     return true;
   }
-  void fill(double rate, double burst, TimePoint now) {
-    level = std::min(std::max(1.0, burst), level + rate * to_seconds(now - filled));
-    filled = now;
+  void refill(double rate, double burst, TimePoint now) {
+    level = std::min(std::max(1.0, burst), level + rate * to_seconds(now - refilled_at));
+    refilled_at = now;
   }
 };
 
-/// Each node has a bucket of its own, with the part of the limit that is its part of the tenant's
+/// Each node has its own bucket with a share of the limit that equals its share of the tenant's
 /// requests, which nodes report to all others every 100 ms.
 class SharesStrategy final : public Strategy {
  public:
@@ -203,44 +207,46 @@
       : network_(network), directory_(directory) {
     const std::size_t nodes = network.zone_of.size();
     const std::size_t tenants = directory.tenants().size();
-    demand_.resize(nodes, std::vector<DecayingCount>(tenants, DecayingCount(kRecentMemory)));
-    buckets_.resize(nodes, std::vector<PlainBucket>(tenants));
-    seen_.resize(nodes, std::vector<double>(tenants, 0));
+    demand_.resize(nodes, std::vector<DecayingCount>(tenants, DecayingCount(kRecentDecayTime)));
+    buckets_.resize(nodes, std::vector<TokenBucket>(tenants));
+    known_demand_.resize(nodes, std::vector<double>(tenants, 0));
   }
   bool admit(std::size_t node, std::size_t tenant, TimePoint now) override {
     demand_[node][tenant].add(1, now);
-    const double own = demand_[node][tenant].value(now) + kIdle;
-    const double all =
-        std::max(own, seen_[node][tenant] + kIdle * static_cast<double>(seen_.size()));
+    const double own = demand_[node][tenant].value(now) + kIdleWeight;
+    const double all = std::max(
+        own, known_demand_[node][tenant] + kIdleWeight * static_cast<double>(known_demand_.size()));
     const RateLimit& limit = directory_.tenants()[tenant].limit;
     return buckets_[node][tenant].take(limit.per_second * own / all, limit.burst * own / all, now);
   }
   void step(TimePoint now) override {
     if ((now.time_since_epoch() / kStep) % 10 != 0) return;
     const std::size_t nodes = demand_.size();
-    messages += nodes * (nodes - 1) / 10;  // Passed on by one node of a zone, as in the other ways.
+    messages +=
+        nodes * (nodes - 1) / 10;  // Forwarded by one node of a zone, as in the other strategies.
     for (std::size_t tenant = 0; tenant < directory_.tenants().size(); ++tenant) {
       double connected = 0;
       for (std::size_t i = 0; i < nodes; ++i) {
-        if (!network_.cut[i]) connected += demand_[i][tenant].value(now);
+        if (!network_.partitioned[i]) connected += demand_[i][tenant].value(now);
       }
       for (std::size_t i = 0; i < nodes; ++i) {
-        if (!network_.cut[i]) seen_[i][tenant] = connected;
+        if (!network_.partitioned[i]) known_demand_[i][tenant] = connected;
       }
     }
   }
 
  private:
-  static constexpr double kIdle = 0.1;
+  static constexpr double kIdleWeight = 0.1;
   Network& network_;
   const TenantDirectory& directory_;
   std::vector<std::vector<DecayingCount>> demand_;
-  std::vector<std::vector<PlainBucket>> buckets_;
-  std::vector<std::vector<double>> seen_;
+  std::vector<std::vector<TokenBucket>> buckets_;
+  std::vector<std::vector<double>> known_demand_;
 };
 
-/// One node grants tokens for a tenant, in short leases; the next one takes over 450 ms after it is
-/// lost, with an empty bucket. A node that cannot reach the grantor has an even part of the limit.
+/// One node per tenant grants tokens in short leases. If it is lost, the next node takes over after
+/// 450 ms, with an empty bucket. A node that cannot reach the grantor has an equal share of the
+/// limit.
 class GrantorStrategy final : public Strategy {
  public:
   GrantorStrategy(Network& network, const TenantDirectory& directory)
@@ -252,7 +258,7 @@
     grantors_.resize(tenants);
     for (std::size_t tenant = 0; tenant < tenants; ++tenant) {
       buckets_[tenant].level = directory.tenants()[tenant].limit.burst;
-      grantors_[tenant] = best_node(tenant);
+      grantors_[tenant] = choose_grantor(tenant);
     }
   }
   bool admit(std::size_t node, std::size_t tenant, TimePoint now) override {
@@ -261,27 +267,27 @@
     if (now >= lease.expires) lease.tokens = 0;
     const RateLimit& limit = directory_.tenants()[tenant].limit;
     if (!network_.reaches(node, grantors_[tenant])) {
-      const double part = 1.0 / static_cast<double>(leases_.size());
-      return lease.alone.take(limit.per_second * part, limit.burst * part, now);
+      const double fraction = 1.0 / static_cast<double>(leases_.size());
+      return lease.local_bucket.take(limit.per_second * fraction, limit.burst * fraction, now);
     }
     if (lease.tokens < 1) {
       ++waited;
-      ask(node, tenant, now);
+      request_tokens(node, tenant, now);
     }
     if (lease.tokens < 1) return false;
     lease.tokens -= 1;
-    // The next request should find tokens: ask early.
-    if (lease.tokens < 1 && lease.demand.value(now) > 3) ask(node, tenant, now);
+    // Request early, so that the next request finds tokens.
+    if (lease.tokens < 1 && lease.demand.value(now) > 3) request_tokens(node, tenant, now);
     return true;
   }
   void step(TimePoint now) override {
     for (std::size_t tenant = 0; tenant < grantors_.size(); ++tenant) {
-      const bool lost = network_.cut[grantors_[tenant]];
+      const bool lost = network_.partitioned[grantors_[tenant]];
       if (!lost) lost_since_.erase(tenant);
       if (!lost) continue;
       const auto [since, first] = lost_since_.try_emplace(tenant, now);
       if (now - since->second < std::chrono::milliseconds(450)) continue;
-      grantors_[tenant] = best_node(tenant);
+      grantors_[tenant] = choose_grantor(tenant);
       buckets_[tenant] = {0, now};
     }
   }
@@ -290,17 +296,17 @@
   struct Lease {
     double tokens = 0;
     TimePoint expires{};
-    DecayingCount demand{kRecentMemory};
-    PlainBucket alone;
+    DecayingCount demand{kRecentDecayTime};
+    TokenBucket local_bucket;
   };
 
-  /// The answer is taken to come at once; the wait is counted.
-  void ask(std::size_t node, std::size_t tenant, TimePoint now) {
+  /// The response is assumed to arrive at once; the wait is only counted.
+  void request_tokens(std::size_t node, std::size_t tenant, TimePoint now) {
     messages += 2;
     const RateLimit& limit = directory_.tenants()[tenant].limit;
     Lease& lease = leases_[node][tenant];
-    PlainBucket& bucket = buckets_[tenant];
-    bucket.fill(limit.per_second, limit.burst, now);
+    TokenBucket& bucket = buckets_[tenant];
+    bucket.refill(limit.per_second, limit.burst, now);
     const double wanted = std::max(1.0, std::floor(lease.demand.value(now) / 15));
     const double granted = std::min(wanted, std::floor(bucket.level));
     if (granted < 1) return;
@@ -308,12 +314,12 @@
     lease.tokens += granted;
     lease.expires = now + std::chrono::milliseconds(300);
   }
-  [[nodiscard]] std::size_t best_node(std::size_t tenant) const {
+  [[nodiscard]] std::size_t choose_grantor(std::size_t tenant) const {
     std::size_t best = 0;
     std::uint64_t best_rank = 0;
     for (std::size_t i = 0; i < leases_.size(); ++i) {
       const std::uint64_t rank = mix_hashes(tenant + 1, i + 1);
-      if (network_.cut[i] || rank < best_rank) continue;
+      if (network_.partitioned[i] || rank < best_rank) continue;
       best = i;
       best_rank = rank;
     }
@@ -323,93 +329,97 @@
   Network& network_;
   const TenantDirectory& directory_;
   std::vector<std::vector<Lease>> leases_;
-  std::vector<PlainBucket> buckets_;
+  std::vector<TokenBucket> buckets_;
   std::vector<std::size_t> grantors_;
   std::map<std::size_t, TimePoint> lost_since_;
 };
 
-enum class Way : std::uint8_t { kShares, kGrantor, kGossip };
+enum class StrategyKind : std::uint8_t { kShares, kGrantor, kGossip };
 
-/// Sizes of the tenants: usual requests a second.
-inline std::vector<double> usual_rates(const Play& play) {
+/// Returns the normal requests per second of each tenant.
+inline std::vector<double> normal_rates(const Scenario& scenario) {
   std::vector<double> rates;
   double sum = 0;
-  for (std::size_t i = 0; i < play.tenants; ++i) {
-    rates.push_back(std::pow(static_cast<double>(i + 1), -play.skew));
+  for (std::size_t i = 0; i < scenario.tenants; ++i) {
+    rates.push_back(std::pow(static_cast<double>(i + 1), -scenario.skew));
     sum += rates.back();
   }
-  for (double& rate : rates) rate *= play.requests_per_second / sum;
+  for (double& rate : rates) rate *= scenario.requests_per_second / sum;
   return rates;
 }
 
-/// Counts what one tenant was admitted in sliding windows.
+/// Counts the admitted requests of one tenant in sliding windows.
 class WindowCheck {
  public:
   void add(TimePoint now) {
     times_.push_back(now);
     const Duration window = scale(std::chrono::seconds(1), kWindowSeconds);
     while (times_.front() <= now - window) times_.pop_front();
-    most_ = std::max(most_, times_.size());
+    max_count_ = std::max(max_count_, times_.size());
   }
   [[nodiscard]] double overshoot(const RateLimit& limit) const {
     const double allowed =
         (limit.per_second * kWindowSeconds + limit.burst) * (1 + kOverage) + kSlack;
-    return static_cast<double>(most_) / allowed;
+    return static_cast<double>(max_count_) / allowed;
   }
 
  private:
   std::deque<TimePoint> times_;
-  std::size_t most_ = 0;
+  std::size_t max_count_ = 0;
 };
 
-inline Outcome play(const Play& play, Way way) {
+inline Outcome simulate(const Scenario& scenario, StrategyKind kind) {
   Network network;
-  network.random = Random(play.seed);
-  for (std::size_t i = 0; i < play.nodes; ++i) network.zone_of.push_back(i % play.zones);
-  network.cut.assign(play.nodes, false);
-  const std::vector<double> rates = usual_rates(play);
+  network.random = Random(scenario.seed);
+  for (std::size_t i = 0; i < scenario.nodes; ++i) network.zone_of.push_back(i % scenario.zones);
+  network.partitioned.assign(scenario.nodes, false);
+  const std::vector<double> rates = normal_rates(scenario);
   std::vector<Tenant> tenants;
   for (std::size_t i = 0; i < rates.size(); ++i) {
-    const double limit = rates[i] * play.limit_factor;
+    const double limit = rates[i] * scenario.limit_factor;
     tenants.push_back({"t" + std::to_string(i), {}, {}, {limit, limit}});
   }
   const TenantDirectory directory(tenants);
   std::unique_ptr<Strategy> strategy;
-  if (way == Way::kShares) strategy = std::make_unique<SharesStrategy>(network, directory);
-  if (way == Way::kGrantor) strategy = std::make_unique<GrantorStrategy>(network, directory);
-  if (way == Way::kGossip) {
-    strategy = std::make_unique<GossipStrategy>(network, directory, play.zones);
+  if (kind == StrategyKind::kShares)
+    strategy = std::make_unique<SharesStrategy>(network, directory);
+  if (kind == StrategyKind::kGrantor)
+    strategy = std::make_unique<GrantorStrategy>(network, directory);
+  if (kind == StrategyKind::kGossip) {
+    strategy = std::make_unique<GossipStrategy>(network, directory, scenario.zones);
   }
   std::vector<WindowCheck> windows(rates.size());
-  std::vector<PlainBucket> reference(rates.size());
+  std::vector<TokenBucket> reference(rates.size());
   std::uint64_t requests = 0;
-  std::vector<std::int64_t> refused_beyond(rates.size(), 0);
+  std::vector<std::int64_t> extra_rejections(rates.size(), 0);
   const double step_seconds = to_seconds(kStep);
-  for (double second = 0; second < play.seconds; second += step_seconds) {
+  for (double second = 0; second < scenario.seconds; second += step_seconds) {
     const TimePoint now{scale(std::chrono::seconds(1), 100 + second)};
-    const auto cut_nodes =
-        static_cast<std::size_t>(play.cut_part * static_cast<double>(play.nodes));
-    const bool cut = second >= 8 && second < 20;
-    // Nodes are cut off here and there, the reporters of their zones among them.
-    for (std::size_t i = 0; i < cut_nodes; ++i) network.cut[i * play.nodes / cut_nodes] = cut;
+    const auto partitioned_nodes = static_cast<std::size_t>(scenario.partitioned_fraction *
+                                                            static_cast<double>(scenario.nodes));
+    const bool partitioned = second >= 8 && second < 20;
+    // The partitioned nodes are spread over the fleet and include the reporters of their zones.
+    for (std::size_t i = 0; i < partitioned_nodes; ++i)
+      network.partitioned[i * scenario.nodes / partitioned_nodes] = partitioned;
     network.deliver(now);
     strategy->step(now);
     for (std::size_t tenant = 0; tenant < rates.size(); ++tenant) {
       const bool flood = tenant == 0 && second >= 10 && second < 16;
-      double expected = rates[tenant] * (flood ? play.flood_factor : 1) * step_seconds;
+      double expected = rates[tenant] * (flood ? scenario.flood_factor : 1) * step_seconds;
       while (network.random.unit() < expected / (1 + expected)) {
-        // The few clients of a tenant meet few nodes; one in three requests comes from elsewhere.
-        const bool usual = network.random.unit() < 0.67;
+        // The few clients of a tenant use few nodes; one in three requests arrives at a random
+        // node.
+        const bool frequent_node = network.random.unit() < 0.67;
         const std::size_t node =
-            usual ? mix_hashes(tenant + 1, 1 + network.random.below(5)) % play.nodes
-                  : network.random.below(play.nodes);
+            frequent_node ? mix_hashes(tenant + 1, 1 + network.random.below(5)) % scenario.nodes
+                          : network.random.below(scenario.nodes);
         const RateLimit& limit = directory.tenants()[tenant].limit;
         const bool fits = reference[tenant].take(limit.per_second, limit.burst, now);
         const bool admitted = strategy->admit(node, tenant, now);
-        if (second < 4) continue;  // Everything has just begun.
+        if (second < 4) continue;  // Skip the start-up phase.
         if (admitted) windows[tenant].add(now);
         ++requests;
-        refused_beyond[tenant] += (fits ? 1 : 0) - (admitted ? 1 : 0);
+        extra_rejections[tenant] += (fits ? 1 : 0) - (admitted ? 1 : 0);
       }
     }
   }
@@ -417,13 +427,13 @@
   for (std::size_t i = 0; i < rates.size(); ++i) {
     outcome.overshoot = std::max(outcome.overshoot, windows[i].overshoot(tenants[i].limit));
   }
-  std::int64_t wrongly_refused = 0;
-  for (const std::int64_t count : refused_beyond) {
-    wrongly_refused += std::max<std::int64_t>(0, count);
+  std::int64_t excess_rejections = 0;
+  for (const std::int64_t count : extra_rejections) {
+    excess_rejections += std::max<std::int64_t>(0, count);
   }
-  outcome.wrongly_refused = 1000.0 * static_cast<double>(wrongly_refused) / requests;
+  outcome.excess_rejections = 1000.0 * static_cast<double>(excess_rejections) / requests;
   outcome.waited = 1000.0 * static_cast<double>(strategy->waited) / requests;
-  outcome.messages = static_cast<double>(strategy->messages) / play.seconds / play.nodes;
+  outcome.messages = static_cast<double>(strategy->messages) / scenario.seconds / scenario.nodes;
   return outcome;
 }
 
--- a/tests/tenancy/tenant_directory_test.cc
+++ b/tests/tenancy/tenant_directory_test.cc
@@ -9,7 +9,7 @@
   return TenantDirectory({{"alder", {"key-a1", "key-a2"}, 1, {}}, {"birch", {"key-b"}, {}, {}}});
 }
 
-TEST(TenantDirectoryTest, EachKeyNamesItsTenant) {
+TEST(TenantDirectoryTest, IdentifiesTenantsByKey) {
   const TenantDirectory directory = two_tenants();
   EXPECT_EQ(directory.identify("key-a2", false).tenant_name(), "alder");
   EXPECT_EQ(directory.identify("key-b", false).tenant_name(), "birch");
@@ -17,13 +17,13 @@
   EXPECT_EQ(directory.identify("key-d", false).tenant, nullptr);
 }
 
-TEST(TenantDirectoryTest, UnknownAndMissingKeysAreToldApart) {
+TEST(TenantDirectoryTest, DistinguishesUnknownAndMissingKeys) {
   const TenantDirectory directory = two_tenants();
   EXPECT_EQ(directory.identify("key-c", false).status, CallerStatus::kKeyUnknown);
   EXPECT_EQ(directory.identify("", false).status, CallerStatus::kKeyMissing);
 }
 
-TEST(TenantDirectoryTest, AnonymousAccessNeedsNoKeyButAKeyStillNamesItsTenant) {
+TEST(TenantDirectoryTest, AnonymousAccessNeedsNoKeyButAKeyIdentifiesItsTenant) {
   const TenantDirectory directory = two_tenants();
   EXPECT_TRUE(directory.identify("", true).allowed());
   EXPECT_TRUE(directory.identify("key-c", true).allowed());
@@ -31,13 +31,13 @@
   EXPECT_EQ(directory.identify("key-b", true).tenant_name(), "birch");
 }
 
-TEST(TenantDirectoryTest, WithoutTenantsNobodyNeedsAKey) {
+TEST(TenantDirectoryTest, WithoutTenantsNoKeyIsRequired) {
   const TenantDirectory directory;
   EXPECT_TRUE(directory.identify("", false).allowed());
   EXPECT_TRUE(directory.identify("any", false).allowed());
 }
 
-TEST(TenantDirectoryTest, AFingerprintDoesNotShowTheKey) {
+TEST(TenantDirectoryTest, FingerprintDoesNotRevealTheKey) {
   const std::string fingerprint = key_fingerprint("wyy7yx5x42q492cqf75r");
   EXPECT_EQ(fingerprint.size(), 6U);
   EXPECT_EQ(fingerprint.find("wyy"), std::string::npos);
--- a/tests/tenancy/tenant_fleet_test.cc
+++ b/tests/tenancy/tenant_fleet_test.cc
@@ -1,5 +1,5 @@
-// The limits of tenants over a whole fleet, without sockets: what is admitted in any window, and
-// what is refused though one bucket for all would have admitted it.
+// Tests the tenant limits of a whole simulated fleet, without sockets: the requests admitted in any
+// window, and the rejections of requests that a single global bucket would have admitted.
 #include <gtest/gtest.h>
 
 #include "tests/tenancy/limit_fleet.h"
@@ -7,44 +7,44 @@
 namespace stoathold::limit_fleet {
 namespace {
 
-/// In 1,000 requests. One bucket for all refuses none of these; differences come from requests that
-/// reach the bucket in another order.
-constexpr double kFewRefusals = 3;
+/// Per 1,000 requests. A single global bucket rejects none of these. Differences arise from
+/// requests that reach the bucket in another order.
+constexpr double kToleratedRejections = 3;
 
-Play small_fleet() {
+Scenario small_fleet() {
   return {.nodes = 9, .requests_per_second = 120};
 }
 
-TEST(TenantFleetTest, UsualTrafficIsHardlyEverRefused) {
+TEST(TenantFleetTest, NormalTrafficIsHardlyEverRejected) {
   for (const double skew : {0.0, 1.0}) {
-    const Outcome outcome = play({.skew = skew}, Way::kGossip);
-    EXPECT_LE(outcome.wrongly_refused, kFewRefusals) << skew;
+    const Outcome outcome = simulate({.skew = skew}, StrategyKind::kGossip);
+    EXPECT_LE(outcome.excess_rejections, kToleratedRejections) << skew;
     EXPECT_LE(outcome.overshoot, 1) << skew;
   }
 }
 
-TEST(TenantFleetTest, AFloodStaysWithinTheLimit) {
+TEST(TenantFleetTest, FloodStaysWithinTheLimit) {
   for (const std::uint64_t seed : {1, 2, 3}) {
-    for (Play flood : {small_fleet(), Play{}}) {
+    for (Scenario flood : {small_fleet(), Scenario{}}) {
       flood.skew = 1;
       flood.flood_factor = 8;
       flood.seed = seed;
-      const Outcome outcome = play(flood, Way::kGossip);
+      const Outcome outcome = simulate(flood, StrategyKind::kGossip);
       EXPECT_LE(outcome.overshoot, 1) << flood.nodes << " nodes, seed " << seed;
     }
   }
 }
 
-TEST(TenantFleetTest, AFloodWhileAThirdOfTheNodesIsCutOffStaysWithinTheLimit) {
+TEST(TenantFleetTest, FloodWithAThirdOfTheNodesPartitionedStaysWithinTheLimit) {
   for (const std::uint64_t seed : {1, 2, 3}) {
-    const Play flood{.skew = 1, .flood_factor = 8, .cut_part = 0.35, .seed = seed};
-    EXPECT_LE(play(flood, Way::kGossip).overshoot, 1) << seed;
+    const Scenario flood{.skew = 1, .flood_factor = 8, .partitioned_fraction = 0.35, .seed = seed};
+    EXPECT_LE(simulate(flood, StrategyKind::kGossip).overshoot, 1) << seed;
   }
 }
 
-TEST(TenantFleetTest, EvenTenantsInALargeFleetStayWithinTheLimit) {
-  const Play flood{.nodes = 120, .zones = 6, .requests_per_second = 700, .flood_factor = 8};
-  EXPECT_LE(play(flood, Way::kGossip).overshoot, 1);
+TEST(TenantFleetTest, EqualTenantsInALargeFleetStayWithinTheLimit) {
+  const Scenario flood{.nodes = 120, .zones = 6, .requests_per_second = 700, .flood_factor = 8};
+  EXPECT_LE(simulate(flood, StrategyKind::kGossip).overshoot, 1);
 }
 
 }  // namespace
--- a/tests/tenancy/tenant_gossip_test.cc
+++ b/tests/tenancy/tenant_gossip_test.cc
@@ -18,32 +18,32 @@
     limits.set_tenants(directory, now - seconds(10));
     limits.check_silence(now);
   }
-  bool ask(TimePoint now) { return limits.admit(directory.tenants().front(), now).admitted; }
+  bool admit_one(TimePoint now) { return limits.admit(directory.tenants().front(), now).admitted; }
 
   TenantDirectory directory{{{"alder", {"key"}, {}, {1, 100}}}};
   TenantLimits limits;
   TenantGossip gossip;
 };
 
-TEST(TenantGossipTest, CountersReachTheOwnZoneAndThroughOneNodeTheOthers) {
+TEST(TenantGossipTest, CountersReachTheOwnZoneDirectlyAndOtherZonesThroughOneNode) {
   TimePoint now{seconds(100)};
   Node first(1, 10, now);
   Node second(2, 10, now);
   Node remote(3, 20, now);
-  // All know one another before the first request comes.
+  // All nodes know each other before the first request arrives.
   second.gossip.take_report(1, first.gossip.make_report(false, now), now);
   remote.gossip.take_zone_report(second.gossip.make_zone_report(now), now);
-  ASSERT_TRUE(first.ask(now));
+  ASSERT_TRUE(first.admit_one(now));
   const double before = remote.limits.available("alder", now);
   second.gossip.take_report(1, first.gossip.make_report(false, now), now);
   remote.gossip.take_zone_report(second.gossip.make_zone_report(now), now);
   EXPECT_NEAR(remote.limits.available("alder", now), before - 1, 0.01);
 }
 
-TEST(TenantGossipTest, AThoroughReportRepeatsWhatMayHaveBeenLost) {
+TEST(TenantGossipTest, FullReportRepeatsCountersThatMayHaveBeenLost) {
   TimePoint now{seconds(100)};
   Node node(1, 10, now);
-  ASSERT_TRUE(node.ask(now));
+  ASSERT_TRUE(node.admit_one(now));
   now += seconds(1);
   EXPECT_TRUE(node.gossip.make_report(false, now).empty());
   const auto report = node.gossip.make_report(true, now);
@@ -52,7 +52,7 @@
   EXPECT_EQ(report[0].admitted, 1U);
 }
 
-TEST(TenantGossipTest, OnlyNodesHeardJustNowAreReportedAsAlive) {
+TEST(TenantGossipTest, ReportsOnlyRecentlyHeardNodesAsAlive) {
   TimePoint now{seconds(100)};
   Node node(1, 10, now);
   node.gossip.take_report(2, {}, now);
@@ -60,11 +60,11 @@
   EXPECT_EQ(node.gossip.make_zone_report(now + milliseconds(400)).nodes.size(), 1U);
 }
 
-TEST(TenantGossipTest, ANodeDoesNotCountItsOwnRequestsTwice) {
+TEST(TenantGossipTest, DoesNotCountOwnRequestsTwice) {
   TimePoint now{seconds(100)};
   Node node(1, 10, now);
   Node remote(3, 20, now);
-  ASSERT_TRUE(node.ask(now));
+  ASSERT_TRUE(node.admit_one(now));
   const double before = node.limits.available("alder", now);
   ZoneTenantUsage report;
   report.zone = 20;
@@ -74,7 +74,7 @@
   EXPECT_NEAR(node.limits.available("alder", now), before, 0.01);
 }
 
-TEST(TenantGossipTest, WhoLeavesIsKnownInItsZoneAndThroughOneNodeInTheOthers) {
+TEST(TenantGossipTest, LeavesReachTheOwnZoneDirectlyAndOtherZonesThroughOneNode) {
   TimePoint now{seconds(100)};
   Node leaving(1, 10, now);
   Node neighbour(2, 10, now);
@@ -89,24 +89,25 @@
   remote.gossip.take_report(4, {}, now);
   remote.gossip.check_silence(now);
   EXPECT_EQ(neighbour.limits.silent_nodes(), 0U);
-  EXPECT_EQ(remote.limits.silent_nodes(), 1U);  // The neighbour, of which nothing was heard since.
+  EXPECT_EQ(remote.limits.silent_nodes(),
+            1U);  // The neighbour, which has not been heard from since.
 }
 
-TEST(TenantGossipTest, WhatALeavingNodeAdmittedLastCountsOnce) {
+TEST(TenantGossipTest, CountsTheLastAdmissionsOfALeavingNodeOnce) {
   TimePoint now{seconds(100)};
   Node leaving(1, 10, now);
   Node neighbour(2, 10, now);
   neighbour.gossip.take_report(1, {}, now);
   neighbour.gossip.take_report(4, {}, now);
   const double before = neighbour.limits.available("alder", now);
-  ASSERT_TRUE(leaving.ask(now));
+  ASSERT_TRUE(leaving.admit_one(now));
   const auto last = leaving.gossip.make_report(true, now);
   neighbour.gossip.take_leave(1, last, now);
   neighbour.gossip.take_leave(1, last, now);
   EXPECT_NEAR(neighbour.limits.available("alder", now), before - 1, 0.01);
 }
 
-TEST(TenantGossipTest, ALeavingNodeTellsTheOtherZonesItself) {
+TEST(TenantGossipTest, LeavingNodeReportsItsLeaveToOtherZones) {
   TimePoint now{seconds(100)};
   Node leaving(1, 10, now);
   leaving.gossip.leave();
--- a/tests/tenancy/tenant_limits_test.cc
+++ b/tests/tenancy/tenant_limits_test.cc
@@ -12,16 +12,16 @@
 
 constexpr std::uint64_t kPeer = 7;
 
-/// One node's view, with a tenant of 10 requests a second and 5 on top.
-class TenantLimitsTest : public testing::Test {
+/// One node with a tenant limited to 10 requests per second and a burst of 5.
+class TenantRateLimiterTest : public testing::Test {
  protected:
-  TenantLimitsTest() { put_in_force(10, 5); }
+  TenantRateLimiterTest() { set_limit(10, 5); }
 
-  void put_in_force(double per_second, double burst) {
+  void set_limit(double per_second, double burst) {
     directory = TenantDirectory({{"alder", {"key"}, {}, {per_second, burst}}});
     limits.set_tenants(directory, now);
   }
-  /// Lets time pass, in which the peer is heard of or not.
+  /// Advances the time, during which the peer is heard from or silent.
   void pass(Duration time, bool peer_heard = true) {
     const TimePoint end = now + time;
     while (now < end) {
@@ -30,14 +30,14 @@
       limits.check_silence(now);
     }
   }
-  AdmissionDecision ask() { return limits.admit(directory.tenants().front(), now); }
-  int admitted_of(int count) {
+  AdmissionDecision admit_one() { return limits.admit(directory.tenants().front(), now); }
+  int count_admitted(int count) {
     int admitted = 0;
-    for (int i = 0; i < count; ++i) admitted += ask().admitted ? 1 : 0;
+    for (int i = 0; i < count; ++i) admitted += admit_one().admitted ? 1 : 0;
     return admitted;
   }
-  void peer_admitted(std::uint32_t total) {
-    limits.take_usage(kPeer, {stable_hash("alder"), total}, now);
+  void report_peer_admitted(std::uint32_t total) {
+    limits.apply_usage(kPeer, {stable_hash("alder"), total}, now);
   }
 
   TimePoint now{seconds(100)};
@@ -45,100 +45,100 @@
   TenantLimits limits;
 };
 
-TEST_F(TenantLimitsTest, RateAndBurstAreAdmittedAndNoMore) {
+TEST_F(TenantRateLimiterTest, AdmitsRateAndBurstAndNoMore) {
   pass(seconds(10));
-  EXPECT_EQ(admitted_of(20), 5);
+  EXPECT_EQ(count_admitted(20), 5);
   pass(seconds(1));
-  EXPECT_GE(admitted_of(20), 5);
+  EXPECT_GE(count_admitted(20), 5);
 }
 
-TEST_F(TenantLimitsTest, ARefusalSaysWhenTheNextRequestIsAdmitted) {
+TEST_F(TenantRateLimiterTest, RejectionsCarryARetryTime) {
   pass(seconds(10));
-  admitted_of(20);
-  const AdmissionDecision decision = ask();
+  count_admitted(20);
+  const AdmissionDecision decision = admit_one();
   ASSERT_FALSE(decision.admitted);
   EXPECT_GT(decision.retry_after, Duration{0});
   EXPECT_LE(decision.retry_after, milliseconds(110));
   pass(decision.retry_after + milliseconds(50));
-  EXPECT_TRUE(ask().admitted);
+  EXPECT_TRUE(admit_one().admitted);
 }
 
-TEST_F(TenantLimitsTest, WhatOtherNodesAdmittedCounts) {
+TEST_F(TenantRateLimiterTest, CountsAdmissionsOfOtherNodes) {
   pass(seconds(10));
-  peer_admitted(1);
+  report_peer_admitted(1);
   pass(seconds(10));
-  peer_admitted(5);
-  EXPECT_EQ(admitted_of(20), 1);
+  report_peer_admitted(5);
+  EXPECT_EQ(count_admitted(20), 1);
 }
 
-TEST_F(TenantLimitsTest, WhatWasAdmittedTooMuchIsPaidBack) {
+TEST_F(TenantRateLimiterTest, PaysBackExcessAdmissions) {
   pass(seconds(10));
-  peer_admitted(0);
-  peer_admitted(25);
-  EXPECT_EQ(admitted_of(20), 0);
+  report_peer_admitted(0);
+  report_peer_admitted(25);
+  EXPECT_EQ(count_admitted(20), 0);
   pass(seconds(1));
-  EXPECT_EQ(admitted_of(20), 0);
+  EXPECT_EQ(count_admitted(20), 0);
   pass(seconds(2));
-  EXPECT_GT(admitted_of(20), 0);
+  EXPECT_GT(count_admitted(20), 0);
 }
 
-TEST_F(TenantLimitsTest, TheCounterOfANodeThatWasThereBeforeTellsOfThePast) {
+TEST_F(TenantRateLimiterTest, IgnoresEarlierAdmissionsOfAnUnknownNode) {
   pass(seconds(10), false);
-  limits.take_usage(99, {stable_hash("alder"), 1000}, now);
+  limits.apply_usage(99, {stable_hash("alder"), 1000}, now);
   limits.node_heard(99, now);
   EXPECT_GT(limits.available("alder", now), -1);
-  limits.take_usage(99, {stable_hash("alder"), 1003}, now);
+  limits.apply_usage(99, {stable_hash("alder"), 1003}, now);
   EXPECT_LT(limits.available("alder", now), 0);
 }
 
-TEST_F(TenantLimitsTest, ARepeatedOrLostReportChangesNothing) {
+TEST_F(TenantRateLimiterTest, ToleratesRepeatedAndLostReports) {
   pass(seconds(10));
-  peer_admitted(1);
-  peer_admitted(1);
+  report_peer_admitted(1);
+  report_peer_admitted(1);
   EXPECT_NEAR(limits.available("alder", now), 4, 0.01);
-  peer_admitted(3);
+  report_peer_admitted(3);
   EXPECT_NEAR(limits.available("alder", now), 2, 0.01);
 }
 
-TEST_F(TenantLimitsTest, ARequestThatNeverRanIsGivenBack) {
+TEST_F(TenantRateLimiterTest, RefundsRequestsThatNeverRan) {
   pass(seconds(10));
-  EXPECT_EQ(admitted_of(20), 5);
+  EXPECT_EQ(count_admitted(20), 5);
   limits.give_back("alder", now);
-  EXPECT_EQ(admitted_of(20), 1);
+  EXPECT_EQ(count_admitted(20), 1);
 }
 
-TEST_F(TenantLimitsTest, ANodeThatIsCutOffAdmitsOnlyItsShare) {
-  // The peer has nine of ten requests.
-  put_in_force(10, 20);
+TEST_F(TenantRateLimiterTest, PartitionedNodeAdmitsOnlyItsShare) {
+  // The peer handles nine of ten requests.
+  set_limit(10, 20);
   std::uint32_t peer_total = 0;
   for (int second = 0; second < 20; ++second) {
     peer_total += 9;
-    peer_admitted(peer_total);
-    EXPECT_TRUE(ask().admitted);
+    report_peer_admitted(peer_total);
+    EXPECT_TRUE(admit_one().admitted);
     pass(seconds(2));
   }
   pass(seconds(1), false);
-  admitted_of(20);
+  count_admitted(20);
   int admitted = 0;
   for (int step = 0; step < 100; ++step) {
     pass(milliseconds(100), false);
-    admitted += admitted_of(5);
+    admitted += count_admitted(5);
   }
-  // A tenth of 100 requests, and the weight that nodes without requests have.
+  // A tenth of 100 requests, plus the weight of nodes without requests.
   EXPECT_GE(admitted, 5);
   EXPECT_LE(admitted, 20);
 }
 
-TEST_F(TenantLimitsTest, TheShareOfASilentNodeIsNotGivenToOthers) {
+TEST_F(TenantRateLimiterTest, ShareOfASilentNodeStaysReserved) {
   std::uint32_t peer_total = 0;
   for (int second = 0; second < 20; ++second) {
     peer_total += 1;
-    peer_admitted(peer_total);
-    admitted_of(1);
+    report_peer_admitted(peer_total);
+    count_admitted(1);
     limits.node_heard(8, now);
     pass(seconds(1));
   }
-  const auto pass_with_another = [&](Duration time) {
+  const auto advance_with_other_node = [&](Duration time) {
     const TimePoint end = now + time;
     while (now < end) {
       now += milliseconds(50);
@@ -146,42 +146,42 @@
       limits.check_silence(now);
     }
   };
-  pass_with_another(seconds(1));
-  admitted_of(50);
+  advance_with_other_node(seconds(1));
+  count_admitted(50);
   int admitted = 0;
   for (int step = 0; step < 100; ++step) {
-    pass_with_another(milliseconds(100));
-    admitted += admitted_of(5);
+    advance_with_other_node(milliseconds(100));
+    admitted += count_admitted(5);
   }
   // About half of 100: the silent node had as many requests as this one.
   EXPECT_GE(admitted, 35);
   EXPECT_LE(admitted, 70);
 }
 
-TEST_F(TenantLimitsTest, WhatASilentNodeIsTakenToAdmitIsNotCountedTwice) {
+TEST_F(TenantRateLimiterTest, AssumedAdmissionsOfASilentNodeAreNotCountedTwice) {
   limits.node_heard(kPeer, now);
   limits.node_heard(8, now);
-  peer_admitted(10);
+  report_peer_admitted(10);
   for (int step = 0; step < 100; ++step) {
     now += milliseconds(50);
     limits.node_heard(8, now);
     limits.check_silence(now);
   }
-  admitted_of(20);
+  count_admitted(20);
   const double before = limits.available("alder", now);
   limits.node_heard(kPeer, now);
-  peer_admitted(12);
+  report_peer_admitted(12);
   EXPECT_NEAR(limits.available("alder", now), before, 0.5);
 }
 
-TEST_F(TenantLimitsTest, AProcessThatStoodStillGainsNothingMeanwhile) {
+TEST_F(TenantRateLimiterTest, SuspendedProcessGainsNoTokens) {
   pass(seconds(10));
-  EXPECT_EQ(admitted_of(20), 5);
+  EXPECT_EQ(count_admitted(20), 5);
   now += seconds(5);
-  EXPECT_EQ(admitted_of(20), 0);
+  EXPECT_EQ(count_admitted(20), 0);
 }
 
-TEST_F(TenantLimitsTest, AProcessThatHasJustBegunAdmitsLittleBeforeItHearsOthers) {
+TEST_F(TenantRateLimiterTest, StartingProcessAdmitsLittleBeforeItHearsFromOthers) {
   TenantLimits fresh;
   const TenantDirectory large({{"alder", {"key"}, {}, {160, 160}}});
   fresh.set_tenants(large, now);
@@ -191,12 +191,13 @@
   EXPECT_GE(admitted, 1);
 }
 
-// Reports hold few counters: the same ones were once left out of each, in the order of a hash.
-TEST_F(TenantLimitsTest, TheNewestChangesAreReportedFirst) {
+// Reports hold few counters. Guards against always leaving out the same ones, as happened in hash
+// order.
+TEST_F(TenantRateLimiterTest, ReportsTheNewestChangesFirst) {
   limits.node_heard(kPeer, now);
   for (std::uint64_t tenant = 1; tenant <= 100; ++tenant) {
     now += milliseconds(1);
-    limits.take_usage(kPeer, {tenant, 1}, now);
+    limits.apply_usage(kPeer, {tenant, 1}, now);
   }
   const auto changes = limits.changes_of({kPeer}, milliseconds(250), 10, now);
   ASSERT_EQ(changes.size(), 10U);
@@ -205,78 +206,79 @@
   EXPECT_TRUE(limits.changes_of({99}, milliseconds(250), 10, now).empty());
 }
 
-TEST_F(TenantLimitsTest, ALowerLimitHoldsAtOnce) {
+TEST_F(TenantRateLimiterTest, LowerLimitTakesEffectAtOnce) {
   pass(seconds(10));
-  put_in_force(2, 1);
-  EXPECT_EQ(admitted_of(20), 1);
+  set_limit(2, 1);
+  EXPECT_EQ(count_admitted(20), 1);
   pass(seconds(5));
-  EXPECT_EQ(admitted_of(20), 1);
+  EXPECT_EQ(count_admitted(20), 1);
 }
 
-TEST_F(TenantLimitsTest, ATenantWithoutALimitIsNeverRefused) {
-  const Tenant open{"birch", {"key"}, {}, {}};
-  for (int i = 0; i < 1000; ++i) EXPECT_TRUE(limits.admit(open, now).admitted);
+TEST_F(TenantRateLimiterTest, TenantsWithoutALimitAreNeverRejected) {
+  const Tenant unlimited{"birch", {"key"}, {}, {}};
+  for (int i = 0; i < 1000; ++i) EXPECT_TRUE(limits.admit(unlimited, now).admitted);
 }
 
-// A node that stopped as planned kept its share of each limit for 20 s, since nobody could tell it
-// from one that is cut off: with a half of the requests at each, the other one refused half of what
-// the limit allows. The thresholds: nothing of the limit may be lost, and nothing admitted twice.
-TEST_F(TenantLimitsTest, TheShareOfANodeThatLeftIsGivenBackAtOnce) {
+// Guards against a departed node that keeps its share of each limit for 20 s because it cannot be
+// told from a partitioned one: with half of the requests at each of two nodes, the remaining one
+// then rejected half of what the limit allows. The bounds require that no part of the limit is lost
+// and none admitted twice.
+TEST_F(TenantRateLimiterTest, ShareOfADepartedNodeIsRedistributedAtOnce) {
   std::uint32_t peer_total = 0;
   for (int second = 0; second < 20; ++second) {
     peer_total += 5;
-    peer_admitted(peer_total);
+    report_peer_admitted(peer_total);
     limits.node_heard(8, now);
-    admitted_of(5);
+    count_admitted(5);
     pass(seconds(1));
   }
-  EXPECT_TRUE(limits.node_left(kPeer, now));
-  admitted_of(20);
+  EXPECT_TRUE(limits.on_node_left(kPeer, now));
+  count_admitted(20);
   int admitted = 0;
   for (int step = 0; step < 100; ++step) {
     limits.node_heard(8, now);
     pass(milliseconds(100), false);
-    admitted += admitted_of(5);
+    admitted += count_admitted(5);
   }
   EXPECT_GE(admitted, 98);
   EXPECT_LE(admitted, 106);
 }
 
-TEST_F(TenantLimitsTest, WhomAllOthersLeftHasTheWholeLimit) {
+TEST_F(TenantRateLimiterTest, LastRemainingNodeHasTheWholeLimit) {
   pass(seconds(10));
-  EXPECT_TRUE(limits.node_left(kPeer, now));
-  admitted_of(20);
+  EXPECT_TRUE(limits.on_node_left(kPeer, now));
+  count_admitted(20);
   int admitted = 0;
   for (int step = 0; step < 100; ++step) {
     pass(milliseconds(100), false);
-    admitted += admitted_of(5);
+    admitted += count_admitted(5);
   }
   EXPECT_GE(admitted, 98);
   EXPECT_LE(admitted, 106);
 }
 
-TEST_F(TenantLimitsTest, ALostWordOfLeavingLeavesTheNodeSilent) {
+TEST_F(TenantRateLimiterTest, ANodeWhoseLeaveMessageIsLostCountsAsSilent) {
   pass(seconds(10));
   limits.node_heard(8, now);
   pass(seconds(1), false);
   EXPECT_EQ(limits.silent_nodes(), 2U);
 }
 
-TEST_F(TenantLimitsTest, AWordOfLeavingThatComesTwiceOrFromAnUnknownNodeChangesNothing) {
+TEST_F(TenantRateLimiterTest, IgnoresRepeatedLeavesAndLeavesOfUnknownNodes) {
   pass(seconds(10));
   limits.node_heard(8, now);
-  EXPECT_TRUE(limits.node_left(kPeer, now));
+  EXPECT_TRUE(limits.on_node_left(kPeer, now));
   const double available = limits.available("alder", now);
-  EXPECT_FALSE(limits.node_left(kPeer, now));
-  EXPECT_FALSE(limits.node_left(99, now));
+  EXPECT_FALSE(limits.on_node_left(kPeer, now));
+  EXPECT_FALSE(limits.on_node_left(99, now));
   EXPECT_EQ(limits.available("alder", now), available);
 }
 
-TEST_F(TenantLimitsTest, AnOlderWordOfAnotherNodeDoesNotBringBackWhoLeft) {
+TEST_F(TenantRateLimiterTest, OlderReportsOfOtherNodesDoNotRestoreADepartedNode) {
   pass(seconds(10));
   limits.node_heard(8, now);
-  limits.node_left(kPeer, now);
-  limits.node_reported(kPeer, now);
+  limits.on_node_left(kPeer, now);
+  limits.on_node_reported(kPeer, now);
   for (int step = 0; step < 20; ++step) {
     limits.node_heard(8, now);
     pass(milliseconds(100), false);
@@ -284,10 +286,10 @@
   EXPECT_EQ(limits.silent_nodes(), 0U);
 }
 
-TEST_F(TenantLimitsTest, WhoLeftAndIsHeardAgainCountsAgain) {
+TEST_F(TenantRateLimiterTest, RestoresADepartedNodeThatIsHeardAgain) {
   pass(seconds(10));
   limits.node_heard(8, now);
-  limits.node_left(kPeer, now);
+  limits.on_node_left(kPeer, now);
   limits.node_heard(kPeer, now);
   for (int step = 0; step < 20; ++step) {
     limits.node_heard(8, now);
