--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -10,19 +10,20 @@
 namespace stoathold {
 namespace {
 
-/// How often a report is sent to other zones: to another node there each time, as messages get
-/// lost.
+/// Number of times a report is sent to other zones, each time to another node, because messages may
+/// be lost.
 constexpr int kRemoteSends = 3;
-/// How often it is sent inside the zone.
+/// Number of times a report is sent within the zone.
 constexpr int kZoneSends = 2;
-/// Reports that wait to be sent, at most; more are left out, the newest first.
+/// Maximum number of pending reports; further ones are dropped.
 constexpr std::size_t kMaxPendingReports = 256;
-/// Most entries of one message: it stays below the size of a datagram.
+/// Maximum number of reports in a message, which must fit into a datagram.
 constexpr std::size_t kMaxReportsInMessage = 60;
-/// Requests of which it is remembered that this node saw an end.
-constexpr std::size_t kMaxSeenHere = 4096;
-/// Ends with a request from which on other zones hear of those whose runs had not begun.
-constexpr std::size_t kEndsReportedToZones = 2;
+/// Maximum number of requests with exits observed by this node.
+constexpr std::size_t kMaxObservedLocally = 4096;
+/// Exits of runs without a response are reported to other zones only from this number of exits of
+/// the request on.
+constexpr std::size_t kMinExitsForRemoteReport = 2;
 
 }  // namespace
 
@@ -37,50 +38,52 @@
                                      : std::max(Duration{0}, found->second.until - now);
 }
 
-void Quarantine::note_end(const RunnerEnd& end) {
-  if (!ends_.add(end)) return;
-  if (seen_here_.size() >= kMaxSeenHere) seen_here_.clear();
-  seen_here_.insert(end.content);
-  const bool begun = end.stage == RunStage::kBegun;
+void Quarantine::note_end(const RunnerExit& exit) {
+  if (!exit_table_.add(exit)) return;
+  if (observed_locally_.size() >= kMaxObservedLocally) observed_locally_.clear();
+  observed_locally_.insert(exit.content);
+  const bool begun = exit.stage == RunStage::kBegun;
   log_event(Event::kRunnerEndedWithRequest,
-            {{"content", to_hex(value_of(end.content))},
-             {"runner_hash", to_hex(end.runner)},
-             {"stage", std::string(to_string(end.stage))},
-             {"ends", std::to_string(ends_.ends_of(end.content))},
-             {"weight", std::to_string(ends_.weight_against(end.content))}});
-  add_report({.content = value_of(end.content), .runner = end.runner, .begun = begun}, end.at);
-  judge(end.content, end.at);
+            {{"content", to_hex(value_of(exit.content))},
+             {"runner_hash", to_hex(exit.runner)},
+             {"stage", std::string(to_string(exit.stage))},
+             {"ends", std::to_string(exit_table_.exit_count(exit.content))},
+             {"weight", std::to_string(exit_table_.attributed_weight(exit.content))}});
+  add_report({.content = value_of(exit.content), .runner = exit.runner, .begun = begun}, exit.at);
+  evaluate(exit.content, exit.at);
 }
 
-void Quarantine::note_progress(ContentHash content, TimePoint now) {
-  const std::size_t ends = ends_.ends_of(content);
-  if (ends == 0) return;
-  ends_.clear(content, now);
+void Quarantine::record_progress(ContentHash content, TimePoint now) {
+  const std::size_t exits = exit_table_.exit_count(content);
+  if (exits == 0) return;
+  exit_table_.clear(content, now);
   on_probation_.erase(content);
-  // A single end puts no request in quarantine anywhere.
-  if (ends >= kEndsReportedToZones) add_report({.content = value_of(content)}, now);
+  // A single exit never leads to a quarantine.
+  if (exits >= kMinExitsForRemoteReport) add_report({.content = value_of(content)}, now);
 }
 
-void Quarantine::add_report(const EndReport& report, TimePoint at) {
+void Quarantine::add_report(const RunnerExitReport& report, TimePoint at) {
   if (zone_reports_.size() < kMaxPendingReports) zone_reports_.push_back({report, at, kZoneSends});
-  const bool for_zones = report.runner == 0 || report.begun ||
-                         ends_.ends_of(ContentHash{report.content}) >= kEndsReportedToZones;
-  if (for_zones && remote_reports_.size() < kMaxPendingReports) {
+  const bool for_other_zones =
+      report.runner == 0 || report.begun ||
+      exit_table_.exit_count(ContentHash{report.content}) >= kMinExitsForRemoteReport;
+  if (for_other_zones && remote_reports_.size() < kMaxPendingReports) {
     remote_reports_.push_back({report, at, kRemoteSends});
   }
   if (report_listener_) report_listener_();
 }
 
-std::vector<EndReport> Quarantine::take_zone_reports(TimePoint now) {
-  return take_some(zone_reports_, now);
+std::vector<RunnerExitReport> Quarantine::take_zone_reports(TimePoint now) {
+  return take_due(zone_reports_, now);
 }
 
-std::vector<EndReport> Quarantine::take_remote_reports(TimePoint now) {
-  return take_some(remote_reports_, now);
+std::vector<RunnerExitReport> Quarantine::take_remote_reports(TimePoint now) {
+  return take_due(remote_reports_, now);
 }
 
-std::vector<EndReport> Quarantine::take_some(std::vector<PendingReport>& pending, TimePoint now) {
-  std::vector<EndReport> reports;
+std::vector<RunnerExitReport> Quarantine::take_due(std::vector<PendingReport>& pending,
+                                                   TimePoint now) {
+  std::vector<RunnerExitReport> reports;
   for (auto& entry : pending) {
     if (reports.size() >= kMaxReportsInMessage) break;
     entry.report.ms_ago = saturated_milliseconds(now - entry.at);
@@ -91,34 +94,37 @@
   return reports;
 }
 
-void Quarantine::take_reports(const std::vector<EndReport>& reports, TimePoint now) {
+void Quarantine::take_reports(const std::vector<RunnerExitReport>& reports, TimePoint now) {
   for (const auto& report : reports) {
     const ContentHash content{report.content};
     const TimePoint at = now - std::chrono::milliseconds(report.ms_ago);
     if (report.runner == 0) {
-      ends_.clear(content, at);
+      exit_table_.clear(content, at);
       continue;
     }
     const RunStage stage = report.begun ? RunStage::kBegun : RunStage::kWaiting;
-    if (ends_.add({content, report.runner, stage, at})) {
-      judge(content, now);
+    if (exit_table_.add({content, report.runner, stage, at})) {
+      evaluate(content, now);
     }
   }
 }
 
-void Quarantine::judge(ContentHash content, TimePoint now) {
+void Quarantine::evaluate(ContentHash content, TimePoint now) {
   if (holds(content, now)) return;
-  const bool again = on_probation_.contains(content) && ends_.weight_against(content) > 0;
-  if (!again && !ends_.over_limit(content)) return;
-  const bool seen_here = seen_here_.contains(content);
+  const bool recurred =
+      on_probation_.contains(content) && exit_table_.attributed_weight(content) > 0;
+  if (!recurred && !exit_table_.over_limit(content)) return;
+  const bool observed_locally = observed_locally_.contains(content);
   quarantined_[content] = {.until = now + kQuarantineTime};
-  const std::size_t ends = ends_.ends_of(content);
-  log_event(Event::kRequestQuarantined, {{"content", to_hex(value_of(content))},
-                                         {"ends", std::to_string(ends)},
-                                         {"weight", std::to_string(ends_.weight_against(content))},
-                                         {"source", seen_here ? "own" : "other_nodes"}});
-  // The nodes that saw the ends write it; they are few, and those who only heard of them are many.
-  if (seen_here && quarantined_handler_) quarantined_handler_(content, ends);
+  const std::size_t exits = exit_table_.exit_count(content);
+  log_event(Event::kRequestQuarantined,
+            {{"content", to_hex(value_of(content))},
+             {"ends", std::to_string(exits)},
+             {"weight", std::to_string(exit_table_.attributed_weight(content))},
+             {"source", observed_locally ? "own" : "other_nodes"}});
+  // The record is written by the few nodes that observed exits, not by the many that only received
+  // reports.
+  if (observed_locally && quarantined_handler_) quarantined_handler_(content, exits);
   if (change_listener_) change_listener_();
 }
 
@@ -133,41 +139,41 @@
   if (known) return;
   request.until = until;
   log_event(Event::kRequestQuarantined, {{"content", to_hex(value_of(content))},
-                                         {"ends", std::to_string(record.ends)},
+                                         {"ends", std::to_string(record.exits)},
                                          {"source", "log"}});
   if (change_listener_) change_listener_();
 }
 
 void Quarantine::lift(ContentHash content) {
   if (quarantined_.erase(content) == 0) return;
-  ends_.forget(content);
+  exit_table_.forget(content);
   on_probation_.erase(content);
   log_event(Event::kQuarantineEnded,
             {{"content", to_hex(value_of(content))}, {"reason", "lifted"}});
 }
 
-void Quarantine::keep_only(const std::set<ContentHash>& contents) {
-  std::vector<ContentHash> gone;
+void Quarantine::retain_only(const std::set<ContentHash>& contents) {
+  std::vector<ContentHash> removed;
   for (const auto& [content, request] : quarantined_) {
-    if (request.recorded && !contents.contains(content)) gone.push_back(content);
+    if (request.recorded && !contents.contains(content)) removed.push_back(content);
   }
-  for (const ContentHash content : gone) lift(content);
+  for (const ContentHash content : removed) lift(content);
 }
 
 std::vector<ContentHash> Quarantine::expire(TimePoint now) {
-  ends_.expire(now);
-  std::vector<ContentHash> gone;
+  exit_table_.expire(now);
+  std::vector<ContentHash> removed;
   for (const auto& [content, request] : quarantined_) {
-    if (now >= request.until) gone.push_back(content);
+    if (now >= request.until) removed.push_back(content);
   }
-  for (const ContentHash content : gone) {
+  for (const ContentHash content : removed) {
     quarantined_.erase(content);
-    ends_.forget(content);
+    exit_table_.forget(content);
     on_probation_.insert(content);
     log_event(Event::kQuarantineEnded,
               {{"content", to_hex(value_of(content))}, {"reason", "time"}});
   }
-  return gone;
+  return removed;
 }
 
 }  // namespace stoathold
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps requests that end the runners which run them away from all runners.
+/// Quarantines poison requests: requests that make the runners exit which run them.
 #pragma once
 
 #include <cstdint>
@@ -15,91 +15,93 @@
 
 namespace stoathold {
 
-/// One request that no runner is given.
+/// A quarantined request, which is sent to no runner.
 struct QuarantinedRequest {
   TimePoint until{};
-  bool recorded = false;  ///< The log is known to hold it.
+  bool recorded = false;  ///< The log is known to contain its record.
 };
 
-/// What is known of requests that end runners: the ends that nodes have seen, and the requests that
-/// these put in quarantine. Nodes report ends to one another; a request in quarantine is a record
-/// of the log, which outlasts every node. Used on one thread.
+/// Tracks the runner exits of requests and quarantines requests with too many exits. Nodes report
+/// exits to each other. A quarantine is also recorded in the log, which outlives every node. Used
+/// on one thread.
 ///
-/// A request leaves after `kQuarantineTime`. From then on one more end brings it back.
+/// A quarantine expires after `kQuarantineTime`. After that a single further exit restores it.
 class Quarantine {
  public:
   static constexpr Duration kQuarantineTime = std::chrono::minutes(10);
 
-  /// @param last_heard when a runner was last heard; a runner that was heard after its end lives.
-  explicit Quarantine(RunnerEndTable::LastHeard last_heard) : ends_(std::move(last_heard)) {}
+  /// @param last_heard returns when a runner was last heard from; a runner heard from after its
+  /// reported exit is still running.
+  explicit Quarantine(RunnerExitTable::LastHeard last_heard) : exit_table_(std::move(last_heard)) {}
 
-  /// Called with each request that an end seen by this node puts in quarantine, for the log, and
-  /// with the number of runners that have ended with it.
-  using QuarantinedHandler = std::function<void(ContentHash, std::size_t ends)>;
+  /// Called with each request that is quarantined after exits observed by this node, and the number
+  /// of runners that exited with it, so that the quarantine is recorded in the log.
+  using QuarantinedHandler = std::function<void(ContentHash, std::size_t exits)>;
   void set_quarantined_handler(QuarantinedHandler handler) {
     quarantined_handler_ = std::move(handler);
   }
-  /// Called whenever there is something to report to other nodes.
+  /// Called when there are new reports for other nodes.
   void set_report_listener(std::function<void()> listener) {
     report_listener_ = std::move(listener);
   }
-  /// Called whenever a request was put in quarantine.
+  /// Called after a request has been quarantined.
   void set_change_listener(std::function<void()> listener) {
     change_listener_ = std::move(listener);
   }
 
-  /// Whether any request is kept from runners; if none is, nobody need hash one.
+  /// Returns whether no request is quarantined; requests need not be hashed then.
   [[nodiscard]] bool empty() const { return quarantined_.empty(); }
-  /// Whether the request is kept from runners.
+  /// Returns whether the request is quarantined.
   [[nodiscard]] bool holds(ContentHash content, TimePoint now) const;
-  /// How long it still is.
+  /// Returns the time until the quarantine expires; 0 if the request is not quarantined.
   [[nodiscard]] Duration time_left(ContentHash content, TimePoint now) const;
   [[nodiscard]] std::size_t size() const { return quarantined_.size(); }
-  /// Requests with ends that are remembered.
-  [[nodiscard]] std::size_t suspects() const { return ends_.size(); }
+  /// Number of requests with recorded exits.
+  [[nodiscard]] std::size_t suspects() const { return exit_table_.size(); }
 
-  /// A runner ended with a request of this node.
-  void note_end(const RunnerEnd& end);
-  /// A request of this node was served, or a batch item got on.
-  void note_progress(ContentHash content, TimePoint now);
-  /// Whether progress of requests is of interest: it is not while no ends are known.
-  [[nodiscard]] bool watches_progress() const { return !ends_.empty(); }
+  /// Records that a runner exited while it had a request of this node.
+  void note_end(const RunnerExit& exit);
+  /// Records that a request of this node was served or that a batch item made progress.
+  void record_progress(ContentHash content, TimePoint now);
+  /// Returns whether progress needs to be recorded, which is only the case if there are recorded
+  /// exits.
+  [[nodiscard]] bool watches_progress() const { return !exit_table_.empty(); }
 
-  /// Returns the reports that are due to the nodes of the own zone; each is returned twice.
-  [[nodiscard]] std::vector<EndReport> take_zone_reports(TimePoint now);
-  /// Returns the reports that are due to nodes of other zones. Each is returned a few times,
-  /// since messages get lost.
-  [[nodiscard]] std::vector<EndReport> take_remote_reports(TimePoint now);
-  /// Takes the reports of another node.
-  void take_reports(const std::vector<EndReport>& reports, TimePoint now);
+  /// Returns the reports to send to the nodes of the own zone; each report is returned twice.
+  [[nodiscard]] std::vector<RunnerExitReport> take_zone_reports(TimePoint now);
+  /// Returns the reports to send to nodes of other zones. Each report is returned several times,
+  /// because messages may be lost.
+  [[nodiscard]] std::vector<RunnerExitReport> take_remote_reports(TimePoint now);
+  /// Applies the reports of another node.
+  void take_reports(const std::vector<RunnerExitReport>& reports, TimePoint now);
 
-  /// The log holds this record of a request.
+  /// Applies a record from the log.
   void take_record(ContentHash content, const QuarantineRecord& record, TimePoint now,
                    std::int64_t time_of_day_ms);
-  /// The log no longer holds one: an operator has lifted the quarantine. Of one whose time was up
-  /// nothing changes: the next end brings it back.
+  /// Lifts a quarantine whose log record was deleted by an operator. Has no effect on an expired
+  /// quarantine, which the next exit still restores.
   void lift(ContentHash content);
-  /// The log holds just these requests; others that it held before were lifted.
-  void keep_only(const std::set<ContentHash>& contents);
-  /// Ends quarantines whose time is up, and forgets old ends.
-  /// @return the requests that have left.
+  /// Lifts all recorded quarantines except these, the ones that the log still contains.
+  void retain_only(const std::set<ContentHash>& contents);
+  /// Ends expired quarantines and forgets old exits.
+  /// @return the requests that are no longer quarantined.
   std::vector<ContentHash> expire(TimePoint now);
 
  private:
   struct PendingReport {
-    EndReport report;
+    RunnerExitReport report;
     TimePoint at{};
     int repeats_left = 0;
   };
 
-  void judge(ContentHash content, TimePoint now);
-  void add_report(const EndReport& report, TimePoint at);
-  static std::vector<EndReport> take_some(std::vector<PendingReport>& pending, TimePoint now);
+  void evaluate(ContentHash content, TimePoint now);
+  void add_report(const RunnerExitReport& report, TimePoint at);
+  static std::vector<RunnerExitReport> take_due(std::vector<PendingReport>& pending, TimePoint now);
 
-  RunnerEndTable ends_;
+  RunnerExitTable exit_table_;
   std::map<ContentHash, QuarantinedRequest> quarantined_;
   std::set<ContentHash> on_probation_;
-  std::set<ContentHash> seen_here_;  ///< Those with an end that this node saw itself.
+  std::set<ContentHash> observed_locally_;  ///< Requests with an exit observed by this node itself.
   std::vector<PendingReport> zone_reports_;
   std::vector<PendingReport> remote_reports_;
   QuarantinedHandler quarantined_handler_;
--- a/src/quarantine/quarantine_check.cc
+++ b/src/quarantine/quarantine_check.cc
@@ -15,10 +15,10 @@
   return quarantine_.time_left(content(), monotonic_now());
 }
 
-void QuarantineCheck::note_run(const EndedRun& run) {
+void QuarantineCheck::note_run(const FinishedRun& run) {
   const TimePoint now = monotonic_now();
   if (run.progressed) {
-    if (quarantine_.watches_progress()) quarantine_.note_progress(content(), now);
+    if (quarantine_.watches_progress()) quarantine_.record_progress(content(), now);
     return;
   }
   if (!run.closed_by_runner || run.stage == RunStage::kDelivering) return;
--- a/src/quarantine/quarantine_check.h
+++ b/src/quarantine/quarantine_check.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the quarantine has to do with one request or batch item, whoever sends it to runners.
+/// Quarantine handling of a single request or batch item.
 #pragma once
 
 #include <optional>
@@ -8,28 +8,30 @@
 
 namespace stoathold {
 
-/// How a run at a runner ended, as far as the quarantine needs it.
-struct EndedRun {
+/// Result of a run at a runner, as far as it affects the quarantine.
+struct FinishedRun {
   std::uint64_t runner = 0;  ///< `Runner::hash`.
   RunStage stage = RunStage::kWaiting;
-  bool progressed = false;        ///< The request was served, or the batch item got on.
-  bool closed_by_runner = false;  ///< The runner closed the connection before the answer was whole.
+  bool progressed = false;  ///< The request was served, or the batch item made progress.
+  /// The runner closed the connection before the response was complete.
+  bool closed_by_runner = false;
 };
 
-/// Hashes the content when it is first needed: most requests never need it. The quarantine, and
-/// what the content's parts point to, outlive it. Used on one thread.
+/// Hashes the content lazily, because most requests never need the hash. The quarantine and the
+/// data to which the content refers must outlive it. Used on one thread.
 class QuarantineCheck {
  public:
   QuarantineCheck(Quarantine& quarantine, RequestContent content)
       : quarantine_(quarantine), parts_(content) {}
 
   [[nodiscard]] ContentHash content();
-  /// Whether the request is kept from runners now.
+  /// Returns whether the request is quarantined now.
   [[nodiscard]] bool is_quarantined();
-  /// How long it still is.
+  /// Returns the time until the quarantine expires.
   [[nodiscard]] Duration time_left();
-  /// A runner that closed its connection before the first event may have ended with the request.
-  void note_run(const EndedRun& run);
+  /// Records a finished run. If the runner closed its connection before the first event, it may
+  /// have exited because of the request.
+  void note_run(const FinishedRun& run);
 
  private:
   Quarantine& quarantine_;
--- a/src/quarantine/quarantine_log.cc
+++ b/src/quarantine/quarantine_log.cc
@@ -17,9 +17,9 @@
 namespace asio = boost::asio;
 
 const PartitionName kQuarantinePartition{"quarantine", 0};
-/// How long a read waits for a record: one call in this time is what following costs a node.
+/// Long-poll timeout for reading records: following the log costs each node one call per timeout.
 constexpr Duration kReadWait = std::chrono::seconds(5);
-/// Between two looks for quarantines whose time is up.
+/// Interval of the checks for expired quarantines.
 constexpr Duration kExpiryInterval = std::chrono::seconds(5);
 
 }  // namespace
@@ -29,9 +29,9 @@
       log_(log),
       quarantine_(quarantine),
       replica_(std::make_shared<PartitionReplica>(log, kQuarantinePartition, *this)) {
-  quarantine_.set_quarantined_handler([this](ContentHash content, std::size_t ends) {
-    const QuarantineRecord record{wall_clock_ms(), static_cast<std::uint32_t>(ends)};
-    written_.insert(content);
+  quarantine_.set_quarantined_handler([this](ContentHash content, std::size_t exits) {
+    const QuarantineRecord record{wall_clock_ms(), static_cast<std::uint32_t>(exits)};
+    own_records_.insert(content);
     write(content, encode_value(record));
   });
 }
@@ -39,7 +39,7 @@
 void QuarantineLog::start() {
   const auto forever = [] { return true; };
   asio::co_spawn(executor_, replica_->follow(forever, Duration{0}, kReadWait), asio::detached);
-  asio::co_spawn(executor_, expire_now_and_then(), asio::detached);
+  asio::co_spawn(executor_, expire_periodically(), asio::detached);
 }
 
 void QuarantineLog::apply(const StoredRecord& record) {
@@ -66,29 +66,29 @@
     std::uint64_t hash = 0;
     if (!record.value.empty() && parse_hex(record.key, hash)) contents.insert(ContentHash{hash});
   }
-  quarantine_.keep_only(contents);
+  quarantine_.retain_only(contents);
 }
 
 void QuarantineLog::write(ContentHash content, std::string value) {
-  unwritten_[to_hex(value_of(content))] = std::move(value);
+  pending_writes_[to_hex(value_of(content))] = std::move(value);
   if (writing_) return;
   writing_ = true;
   asio::co_spawn(executor_, write_all(), asio::detached);
 }
 
-/// A record without an answer is written again: twice the same record does no harm.
+/// A record without a response is written again; duplicate records are harmless.
 asio::awaitable<void> QuarantineLog::write_all() {
   Backoff backoff;
   Timer timer(executor_);
-  while (!unwritten_.empty()) {
-    const auto batch = unwritten_;
+  while (!pending_writes_.empty()) {
+    const auto batch = pending_writes_;
     std::vector<KeyedRecord> records;
     for (const auto& [key, value] : batch) records.push_back({key, value});
     const AppendResult result =
         co_await log_.append(kQuarantinePartition, std::move(records), std::nullopt);
     if (result.status == LogStatus::kOk) {
       backoff.reset();
-      std::erase_if(unwritten_, [&](const auto& entry) {
+      std::erase_if(pending_writes_, [&](const auto& entry) {
         const auto sent = batch.find(entry.first);
         return sent != batch.end() && sent->second == entry.second;
       });
@@ -100,13 +100,13 @@
   writing_ = false;
 }
 
-asio::awaitable<void> QuarantineLog::expire_now_and_then() {
+asio::awaitable<void> QuarantineLog::expire_periodically() {
   Timer timer(executor_);
   while (true) {
     timer.expires_after(kExpiryInterval);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     for (const ContentHash content : quarantine_.expire(monotonic_now())) {
-      if (written_.erase(content) > 0) write(content, {});
+      if (own_records_.erase(content) > 0) write(content, {});
     }
   }
 }
--- a/src/quarantine/quarantine_log.h
+++ b/src/quarantine/quarantine_log.h
@@ -1,6 +1,6 @@
 /// @file
-/// The log's records of requests that are kept from runners: read by every node, so that one which
-/// was cut off from the others or has just begun knows them too.
+/// Log records of quarantined requests. Every node reads them, so that a node that was partitioned
+/// or has just started knows the quarantines too.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -14,8 +14,8 @@
 
 namespace stoathold {
 
-/// Follows the records, and writes those of the requests that this node puts in quarantine. An
-/// operator lifts a quarantine by deleting its record. Outlives all its calls; used on one thread.
+/// Follows the records, and writes those of the requests that this node quarantines. An operator
+/// lifts a quarantine by deleting its record. Must outlive all its calls; used on one thread.
 class QuarantineLog final : public RecordSink {
  public:
   QuarantineLog(boost::asio::any_io_executor executor, RecordLog& log, Quarantine& quarantine);
@@ -28,14 +28,16 @@
  private:
   void write(ContentHash content, std::string value);
   boost::asio::awaitable<void> write_all();
-  boost::asio::awaitable<void> expire_now_and_then();
+  boost::asio::awaitable<void> expire_periodically();
 
   boost::asio::any_io_executor executor_;
   RecordLog& log_;
   Quarantine& quarantine_;
   std::shared_ptr<PartitionReplica> replica_;
-  std::map<std::string, std::string> unwritten_;  ///< Values by key; an empty one deletes.
-  std::set<ContentHash> written_;                 ///< Deleted by this node when their time is up.
+  /// Values by key; an empty value deletes the record.
+  std::map<std::string, std::string> pending_writes_;
+  /// Records that this node deletes when their quarantine expires.
+  std::set<ContentHash> own_records_;
   bool writing_ = false;
 };
 
--- a/src/quarantine/quarantine_messages.h
+++ b/src/quarantine/quarantine_messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// What nodes report to one another of runners that ended under requests, and what the log keeps.
+/// Messages about runner exits, and the log record of a quarantine.
 #pragma once
 
 #include <cstdint>
@@ -8,12 +8,13 @@
 
 namespace stoathold {
 
-/// A runner ended with a request, or the request got on.
-struct EndReport {
+/// Reports that a runner exited while it had a request, or that the request made progress.
+struct RunnerExitReport {
   std::uint64_t content = 0;  ///< Hash of the request's content.
-  std::uint64_t runner = 0;   ///< Hash of the id of the runner that ended; 0: the request got on.
-  bool begun = false;         ///< Its answer had begun.
-  std::uint16_t ms_ago = 0;   ///< Saturates.
+  /// Hash of the id of the runner that exited; 0 if the request made progress.
+  std::uint64_t runner = 0;
+  bool begun = false;        ///< The response had started.
+  std::uint16_t ms_ago = 0;  ///< Age of the event; saturates.
 
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -21,10 +22,10 @@
   }
 };
 
-/// Ends that the sender knows.
+/// Reports known to the sender.
 struct EndReports {
-  std::vector<EndReport> reports;
-  bool pass_on = false;  ///< The receiver passes it on inside its zone.
+  std::vector<RunnerExitReport> reports;
+  bool pass_on = false;  ///< The receiver forwards them within its zone.
 
   template <typename Archive>
   void serialize(Archive& archive) {
@@ -32,14 +33,15 @@
   }
 };
 
-/// The log's record of a request that is kept from runners; its key is the content's hash.
+/// Log record of a quarantined request, keyed by the hash of its content.
 struct QuarantineRecord {
-  std::int64_t since_ms = 0;  ///< Time of day at the node that put it in quarantine.
-  std::uint32_t ends = 0;     ///< Runners that had ended with it.
+  /// Wall clock time of the quarantine at the node that wrote the record.
+  std::int64_t since_ms = 0;
+  std::uint32_t exits = 0;  ///< Number of runners that had exited with the request.
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(since_ms, ends);
+    archive(since_ms, exits);
   }
 };
 
--- a/src/quarantine/request_content.h
+++ b/src/quarantine/request_content.h
@@ -1,5 +1,5 @@
 /// @file
-/// Recognises a request that comes again under another id, with other headers, at any node.
+/// Identifies copies of a request that arrive with another id and other headers, at any node.
 #pragma once
 
 #include <cstdint>
@@ -7,18 +7,18 @@
 
 namespace stoathold {
 
-/// Identity of what a request asks; equal for all its copies, at all nodes and over restarts.
+/// Hash of a request's content; equal for all its copies, at all nodes and across restarts.
 enum class ContentHash : std::uint64_t {};
 
-/// What makes two requests the same. Ids and other headers differ between copies.
+/// Fields that identify equal requests. Ids and other headers differ between copies.
 struct RequestContent {
-  std::string_view tenant;  ///< Who asks; empty where callers are anonymous.
+  std::string_view tenant;  ///< Tenant of the caller; empty for anonymous callers.
   std::string_view host;
   std::string_view target;  ///< Path and query.
   std::string_view body;
 };
 
-/// Hashes the content; costs one pass over the body.
+/// Hashes the content in one pass over the body.
 ContentHash content_hash(const RequestContent& content);
 
 }  // namespace stoathold
--- a/src/quarantine/run_stage.h
+++ b/src/quarantine/run_stage.h
@@ -1,5 +1,5 @@
 /// @file
-/// How far a run at a runner had come, as seen from the node that sent it.
+/// Progress of a run at a runner, as seen from the node that sent it.
 #pragma once
 
 #include <cstdint>
@@ -9,9 +9,9 @@
 
 /// Stages of one run, in order.
 enum class RunStage : std::uint8_t {
-  kWaiting,    ///< No answer has begun: it may be running, or waiting in the runner's queue.
-  kBegun,      ///< The head of the answer came: it is running.
-  kDelivering  ///< An event or a piece of the body came.
+  kWaiting,    ///< No response has started: the run is in progress or waits in the runner's queue.
+  kBegun,      ///< The response headers were received: the run is in progress.
+  kDelivering  ///< An event or part of the body was received.
 };
 
 /// Returns the stage's name for logs.
--- a/src/quarantine/runner_end_table.h
+++ b/src/quarantine/runner_end_table.h
@@ -1,5 +1,6 @@
 /// @file
-/// Which requests were at runners that ended, and which of them the ends are put down to.
+/// Records which requests were at runners that exited, and to which of them the exits are
+/// attributed.
 #pragma once
 
 #include <cstdint>
@@ -15,82 +16,87 @@
 
 namespace stoathold {
 
-/// A request was at a runner when the runner ended.
-struct RunnerEnd {
+/// A request was at a runner when the runner exited.
+struct RunnerExit {
   ContentHash content{};
-  std::uint64_t runner = 0;  ///< `Runner::hash`: another for each start of a runner.
+  std::uint64_t runner = 0;  ///< `Runner::hash`, which changes with each start of a runner.
   RunStage stage = RunStage::kWaiting;
   TimePoint at{};
 };
 
-/// How strongly ends speak against a request. An end of a run whose answer had begun weighs more:
-/// that run was under way, while one without an answer may have waited in the runner's queue.
-struct EndWeights {
+/// Weights of exits as evidence against a request. An exit weighs more if the response had started,
+/// because that run was in progress, while a run without a response may have been waiting in the
+/// runner's queue.
+struct ExitWeights {
   std::uint32_t begun = 5;
   std::uint32_t waiting = 3;
-  /// Against a request: reached by three ends of runs that had begun, by five of others.
+  /// Weight that leads to a quarantine: three exits of runs with a started response, or five
+  /// others.
   std::uint32_t limit = 15;
 };
 
-/// Ends by request and by runner. A set that only grows, so that nodes which have reported to one
-/// another the same ends come to the same judgement, in whatever order. Used on one thread.
+/// Exits by request and by runner. The set only grows, so that nodes that have exchanged the same
+/// exits reach the same result in any order. Used on one thread.
 ///
-/// Most requests at a runner that ends are innocent. So an end is put down to one request at most:
-/// the one whose run had begun, if just one had; else the one with the most ends elsewhere.
-class RunnerEndTable {
+/// Most requests at a runner that exits are not the cause. So an exit is attributed to at most one
+/// request: the one whose response had started, if there was only one; otherwise the one with the
+/// most other exits.
+class RunnerExitTable {
  public:
-  /// Returns when the runner was last heard, by any node as far as known here; nothing if never.
+  /// Returns when the runner was last heard from by any node, as far as known here; nothing if
+  /// never.
   using LastHeard = std::function<std::optional<TimePoint>(std::uint64_t runner)>;
 
-  explicit RunnerEndTable(LastHeard last_heard, EndWeights weights = {})
+  explicit RunnerExitTable(LastHeard last_heard, ExitWeights weights = {})
       : last_heard_(std::move(last_heard)), weights_(weights) {}
 
-  /// Takes in an end.
-  /// @return whether it was not known, or not in so late a stage.
-  bool add(const RunnerEnd& end);
-  /// The request was served, or got on: ends before that are not put down to it.
+  /// Adds an exit.
+  /// @return whether it was new or has a later stage than the known one.
+  bool add(const RunnerExit& exit);
+  /// Records that the request was served or made progress: earlier exits are not attributed to it.
   void clear(ContentHash content, TimePoint now);
-  /// Forgets all ends of the request.
+  /// Removes all exits of the request.
   void forget(ContentHash content);
-  /// Forgets what is older than the lifetime of an end.
+  /// Removes requests whose exits are too old to count.
   void expire(TimePoint now);
 
-  /// Returns the weight of the ends that are put down to the request.
-  [[nodiscard]] std::uint32_t weight_against(ContentHash content) const;
-  /// Whether that is enough to keep the request from runners.
+  /// Returns the weight of the exits attributed to the request.
+  [[nodiscard]] std::uint32_t attributed_weight(ContentHash content) const;
+  /// Returns whether that weight is enough for a quarantine.
   [[nodiscard]] bool over_limit(ContentHash content) const {
-    return weight_against(content) >= weights_.limit;
+    return attributed_weight(content) >= weights_.limit;
   }
-  /// Returns the runners that ended with the request, whatever the ends are put down to.
-  [[nodiscard]] std::size_t ends_of(ContentHash content) const;
+  /// Returns the number of runners that exited with the request, regardless of attribution.
+  [[nodiscard]] std::size_t exit_count(ContentHash content) const;
   [[nodiscard]] bool empty() const { return requests_.empty(); }
   [[nodiscard]] std::size_t size() const { return requests_.size(); }
 
  private:
-  struct End {
+  struct Exit {
     RunStage stage = RunStage::kWaiting;
     TimePoint at{};
   };
-  /// What speaks against one request.
+  /// Evidence against one request.
   struct Suspect {
-    std::map<std::uint64_t, End> ends;  ///< By runner.
-    std::optional<TimePoint> cleared;   ///< Ends up to then don't count.
+    std::map<std::uint64_t, Exit> exits;  ///< By runner.
+    std::optional<TimePoint> cleared;     ///< Exits up to this time do not count.
     TimePoint changed{};
   };
 
   [[nodiscard]] std::uint32_t weight_of(RunStage stage) const {
     return stage == RunStage::kBegun ? weights_.begun : weights_.waiting;
   }
-  /// Whether the end counts at all: nobody has heard the runner since.
-  [[nodiscard]] bool stands(const Suspect& suspect, std::uint64_t runner, const End& end) const;
-  [[nodiscard]] std::uint32_t whole_weight(const Suspect& suspect) const;
-  /// Whether another request explains the end at least as well.
-  [[nodiscard]] bool has_rival(ContentHash content, std::uint64_t runner, const End& end,
-                               std::uint32_t weight) const;
-  void make_room();
+  /// Returns whether the exit counts: it was not cleared, and no node has heard from the runner
+  /// since.
+  [[nodiscard]] bool is_valid(const Suspect& suspect, std::uint64_t runner, const Exit& exit) const;
+  [[nodiscard]] std::uint32_t total_weight(const Suspect& suspect) const;
+  /// Returns whether another request explains the exit at least as well.
+  [[nodiscard]] bool has_likelier_suspect(ContentHash content, std::uint64_t runner,
+                                          const Exit& exit, std::uint32_t weight) const;
+  void evict_one();
 
   LastHeard last_heard_;
-  EndWeights weights_;
+  ExitWeights weights_;
   std::unordered_map<ContentHash, Suspect> requests_;
   std::unordered_map<std::uint64_t, std::vector<ContentHash>> by_runner_;
 };
--- a/tests/quarantine/quarantine_log_test.cc
+++ b/tests/quarantine/quarantine_log_test.cc
@@ -8,16 +8,16 @@
 namespace stoathold {
 namespace {
 
-constexpr ContentHash kDeadly{7};
+constexpr ContentHash kPoisonRequest{7};
 const PartitionName kPartition{"quarantine", 0};
 
-/// A node on a log that several share.
+/// A node that uses a shared log.
 struct Node {
   Node(boost::asio::io_context& loop, std::shared_ptr<emulator::LogModel> model)
       : log(std::move(model), LogLimits{}), records(loop.get_executor(), log, quarantine) {
     records.start();
   }
-  [[nodiscard]] bool holds() const { return quarantine.holds(kDeadly, monotonic_now()); }
+  [[nodiscard]] bool holds() const { return quarantine.holds(kPoisonRequest, monotonic_now()); }
 
   Quarantine quarantine{[](std::uint64_t) { return std::nullopt; }};
   FaultyRecordLog log;
@@ -26,9 +26,9 @@
 
 class QuarantineLogTest : public testing::Test {
  protected:
-  void condemn(Node& node) {
+  void exit_runners(Node& node) {
     for (std::uint64_t runner = 1; runner <= 3; ++runner) {
-      node.quarantine.note_end({kDeadly, runner, RunStage::kBegun, monotonic_now()});
+      node.quarantine.note_end({kPoisonRequest, runner, RunStage::kBegun, monotonic_now()});
     }
   }
   template <typename Condition>
@@ -44,18 +44,18 @@
   std::shared_ptr<emulator::LogModel> model = std::make_shared<emulator::LogModel>();
 };
 
-TEST_F(QuarantineLogTest, ANodeThatBeginsLaterKnowsTheRequest) {
+TEST_F(QuarantineLogTest, NodesThatStartLaterLoadTheRecord) {
   Node first(loop, model);
-  condemn(first);
+  exit_runners(first);
   run_until([&] { return records() == 1; });
   Node second(loop, model);
   run_until([&] { return second.holds(); });
 }
 
-TEST_F(QuarantineLogTest, TheRecordIsWrittenOnceTheLogTakesIt) {
+TEST_F(QuarantineLogTest, WritesTheRecordOnceTheLogIsAvailable) {
   Node first(loop, model);
   first.log.faults.down = true;
-  condemn(first);
+  exit_runners(first);
   run_until([&, turn = 0]() mutable { return ++turn > 3; });
   EXPECT_EQ(records(), 0U);
   first.log.faults.down = false;
@@ -63,19 +63,19 @@
   run_until([&] { return records() == 1; });
 }
 
-TEST_F(QuarantineLogTest, AnOperatorLiftsItByDeletingTheRecord) {
+TEST_F(QuarantineLogTest, DeletingTheRecordLiftsTheQuarantine) {
   Node first(loop, model);
   Node second(loop, model);
-  condemn(first);
+  exit_runners(first);
   run_until([&] { return second.holds(); });
-  model->append(kPartition, {{to_hex(value_of(kDeadly)), ""}}, std::nullopt);
+  model->append(kPartition, {{to_hex(value_of(kPoisonRequest)), ""}}, std::nullopt);
   run_until([&] { return !first.holds() && !second.holds(); });
 }
 
-TEST_F(QuarantineLogTest, AMalformedRecordIsPassedOver) {
+TEST_F(QuarantineLogTest, IgnoresMalformedRecords) {
   model->append(kPartition, {{"no hash", "x"}, {to_hex(8), "x"}}, std::nullopt);
   Node first(loop, model);
-  condemn(first);
+  exit_runners(first);
   run_until([&] { return records() == 3; });
   EXPECT_EQ(first.quarantine.size(), 1U);
 }
--- a/tests/quarantine/quarantine_test.cc
+++ b/tests/quarantine/quarantine_test.cc
@@ -5,7 +5,7 @@
 namespace stoathold {
 namespace {
 
-constexpr ContentHash kDeadly{1};
+constexpr ContentHash kPoisonRequest{1};
 constexpr std::int64_t kTimeOfDayMs = 1'700'000'000'000;
 
 TimePoint at(Duration since_start) {
@@ -16,34 +16,34 @@
   return Quarantine([](std::uint64_t) { return std::nullopt; });
 }
 
-void end_runners(Quarantine& quarantine, std::uint64_t first, std::uint64_t last,
-                 Duration when = Duration{0}) {
+void exit_runners(Quarantine& quarantine, std::uint64_t first, std::uint64_t last,
+                  Duration when = Duration{0}) {
   for (std::uint64_t runner = first; runner <= last; ++runner) {
-    quarantine.note_end({kDeadly, runner, RunStage::kBegun, at(when)});
+    quarantine.note_end({kPoisonRequest, runner, RunStage::kBegun, at(when)});
   }
 }
 
-TEST(QuarantineTest, NodesThatEachSawOneEndCondemnTogether) {
+TEST(QuarantineTest, NodesThatEachSawOneExitQuarantineTogether) {
   std::vector<Quarantine> nodes;
   for (int i = 0; i < 3; ++i) nodes.push_back(make_quarantine());
   int written = 0;
   for (auto& node : nodes) {
     node.set_quarantined_handler([&](ContentHash, std::size_t) { ++written; });
   }
-  for (std::uint64_t i = 0; i < 3; ++i) end_runners(nodes[i], i + 1, i + 1);
+  for (std::uint64_t i = 0; i < 3; ++i) exit_runners(nodes[i], i + 1, i + 1);
   for (std::size_t from = 0; from < 3; ++from) {
     const auto reports = nodes[from].take_zone_reports(at({}));
     for (std::size_t to = 0; to < 3; ++to) {
       if (to != from) nodes[to].take_reports(reports, at({}));
     }
   }
-  for (auto& node : nodes) EXPECT_TRUE(node.holds(kDeadly, at({})));
+  for (auto& node : nodes) EXPECT_TRUE(node.holds(kPoisonRequest, at({})));
   EXPECT_EQ(written, 3);
 }
 
-TEST(QuarantineTest, NewsIsToldSeveralTimesAndNoMore) {
+TEST(QuarantineTest, RepeatsReportsALimitedNumberOfTimes) {
   Quarantine node = make_quarantine();
-  end_runners(node, 1, 1);
+  exit_runners(node, 1, 1);
   EXPECT_EQ(node.take_zone_reports(at({})).size(), 1U);
   EXPECT_EQ(node.take_zone_reports(at({})).size(), 1U);
   EXPECT_TRUE(node.take_zone_reports(at({})).empty());
@@ -51,59 +51,59 @@
   EXPECT_TRUE(node.take_remote_reports(at({})).empty());
 }
 
-TEST(QuarantineTest, TheEndOfAWaitingRequestIsNotToldToOtherZonesAtOnce) {
+TEST(QuarantineTest, DoesNotReportASingleExitOfAWaitingRequestToOtherZones) {
   Quarantine node = make_quarantine();
-  node.note_end({kDeadly, 1, RunStage::kWaiting, at({})});
+  node.note_end({kPoisonRequest, 1, RunStage::kWaiting, at({})});
   EXPECT_TRUE(node.take_remote_reports(at({})).empty());
-  node.note_end({kDeadly, 2, RunStage::kWaiting, at({})});
+  node.note_end({kPoisonRequest, 2, RunStage::kWaiting, at({})});
   EXPECT_EQ(node.take_remote_reports(at({})).size(), 1U);
 }
 
-TEST(QuarantineTest, ARecordOfTheLogCountsForItsAge) {
+TEST(QuarantineTest, ExpiresLogRecordsByTheirAge) {
   Quarantine node = make_quarantine();
   const std::int64_t minutes_9 = 9 * 60 * 1000;
-  node.take_record(kDeadly, {kTimeOfDayMs - minutes_9, 3}, at({}), kTimeOfDayMs);
-  EXPECT_TRUE(node.holds(kDeadly, at(std::chrono::seconds(59))));
-  EXPECT_FALSE(node.holds(kDeadly, at(std::chrono::seconds(61))));
+  node.take_record(kPoisonRequest, {kTimeOfDayMs - minutes_9, 3}, at({}), kTimeOfDayMs);
+  EXPECT_TRUE(node.holds(kPoisonRequest, at(std::chrono::seconds(59))));
+  EXPECT_FALSE(node.holds(kPoisonRequest, at(std::chrono::seconds(61))));
 }
 
-TEST(QuarantineTest, AfterItsTimeOneMoreEndCondemnsAgain) {
+TEST(QuarantineTest, OneMoreExitAfterExpiryRestoresTheQuarantine) {
   Quarantine node = make_quarantine();
-  end_runners(node, 1, 3);
+  exit_runners(node, 1, 3);
   const Duration later = Quarantine::kQuarantineTime + std::chrono::seconds(1);
-  EXPECT_FALSE(node.holds(kDeadly, at(later)));
+  EXPECT_FALSE(node.holds(kPoisonRequest, at(later)));
   EXPECT_EQ(node.expire(at(later)).size(), 1U);
-  end_runners(node, 4, 4, later);
-  EXPECT_TRUE(node.holds(kDeadly, at(later)));
+  exit_runners(node, 4, 4, later);
+  EXPECT_TRUE(node.holds(kPoisonRequest, at(later)));
 }
 
-TEST(QuarantineTest, TheEndOfTheRecordOfOneWhoseTimeWasUpChangesNothing) {
+TEST(QuarantineTest, DeletingTheRecordOfAnExpiredQuarantineKeepsProbation) {
   Quarantine node = make_quarantine();
-  end_runners(node, 1, 3);
+  exit_runners(node, 1, 3);
   const Duration later = Quarantine::kQuarantineTime + std::chrono::seconds(1);
   node.expire(at(later));
-  node.lift(kDeadly);
-  end_runners(node, 4, 4, later);
-  EXPECT_TRUE(node.holds(kDeadly, at(later)));
+  node.lift(kPoisonRequest);
+  exit_runners(node, 4, 4, later);
+  EXPECT_TRUE(node.holds(kPoisonRequest, at(later)));
 }
 
-TEST(QuarantineTest, ALiftedRequestStartsAnew) {
+TEST(QuarantineTest, LiftingAQuarantineForgetsEarlierExits) {
   Quarantine node = make_quarantine();
-  end_runners(node, 1, 3);
-  node.lift(kDeadly);
-  EXPECT_FALSE(node.holds(kDeadly, at({})));
-  end_runners(node, 4, 5);
-  EXPECT_FALSE(node.holds(kDeadly, at({})));
+  exit_runners(node, 1, 3);
+  node.lift(kPoisonRequest);
+  EXPECT_FALSE(node.holds(kPoisonRequest, at({})));
+  exit_runners(node, 4, 5);
+  EXPECT_FALSE(node.holds(kPoisonRequest, at({})));
 }
 
-TEST(QuarantineTest, WhatIsNotYetInTheLogSurvivesTheLossOfItsHistory) {
+TEST(QuarantineTest, UnrecordedQuarantinesSurviveALogReset) {
   Quarantine node = make_quarantine();
-  end_runners(node, 1, 3);
-  node.keep_only({});
-  EXPECT_TRUE(node.holds(kDeadly, at({})));
-  node.take_record(kDeadly, {kTimeOfDayMs, 3}, at({}), kTimeOfDayMs);
-  node.keep_only({});
-  EXPECT_FALSE(node.holds(kDeadly, at({})));
+  exit_runners(node, 1, 3);
+  node.retain_only({});
+  EXPECT_TRUE(node.holds(kPoisonRequest, at({})));
+  node.take_record(kPoisonRequest, {kTimeOfDayMs, 3}, at({}), kTimeOfDayMs);
+  node.retain_only({});
+  EXPECT_FALSE(node.holds(kPoisonRequest, at({})));
 }
 
 }  // namespace
