--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -17,65 +17,67 @@
 /// Returns whether a slot that no on-time request needs is expected soon and before the caller
 /// would retry. A forecast further ahead than the objective is too unreliable, because it depends
 /// on future arrivals.
-bool late_slot_precedes_retry(const WaitReview& review, TimePoint now) {
-  const WaitForecast& forecast = *review.forecast;
-  const Duration waited = now - review.arrival;
-  const Duration objective = review.due - review.arrival;
+bool late_slot_precedes_retry(const WaitReview& input, TimePoint now) {
+  const WaitForecast& forecast = *input.forecast;
+  const Duration waited = now - input.arrival;
+  const Duration objective = input.due - input.arrival;
   if (waited < scale(objective, kLongWaitFraction)) return false;
   if (!forecast.time_to_drain || *forecast.time_to_drain > objective) return false;
-  if (now + *forecast.time_to_drain > review.last_start) return false;
-  return !review.retry_after || *forecast.time_to_drain < *review.retry_after;
+  if (now + *forecast.time_to_drain > input.last_start) return false;
+  return !input.retry_after || *forecast.time_to_drain < *input.retry_after;
 }
 
 }  // namespace
 
-double freed_per_second(const ServiceFigures& figures, std::uint32_t slots) {
-  if (!figures.slot_time || figures.slot_time->count() <= 0) return 0;
-  return std::max(slots / to_seconds(*figures.slot_time), figures.freed_per_second);
+double freed_per_second(const ServiceFigures& statistics, std::uint32_t slots) {
+  if (!statistics.slot_time || statistics.slot_time->count() <= 0) return 0;
+  return std::max(slots / to_seconds(*statistics.slot_time), statistics.freed_per_second);
 }
 
 std::optional<WaitForecast> predict_wait(const QueuePosition& position,
-                                         const ServiceFigures& figures, const SlotRoom& room,
+                                         const ServiceFigures& statistics, const SlotRoom& capacity,
                                          double arrivals_per_second) {
-  if (!figures.slot_time || figures.slot_time->count() <= 0 || room.zone == 0) return std::nullopt;
+  if (!statistics.slot_time || statistics.slot_time->count() <= 0 || capacity.zone == 0)
+    return std::nullopt;
   // Nodes receive slots in proportion to their queue lengths, so the fraction of this node's queue
   // that precedes the request also holds for the rest of the zone.
   const double node_fraction =
       position.all.requests == 0
           ? 1
           : std::min(1.0, (position.ahead.requests + 1.0) / position.all.requests);
-  const double requests_ahead = position.ahead.requests + node_fraction * figures.peers.requests;
+  const double requests_ahead = position.ahead.requests + node_fraction * statistics.peers.requests;
   const Duration time_ahead =
-      position.ahead.slot_time + scale(figures.peers.slot_time, node_fraction);
+      position.ahead.slot_time + scale(statistics.peers.slot_time, node_fraction);
   // Queued requests can use slots lent by other zones and slots that batch items release
   // immediately, so that many fewer requests are ahead in this zone.
-  const double immediately_available = room.spare_elsewhere + room.of_batch;
+  const double immediately_available = capacity.spare_elsewhere + capacity.of_batch;
   const double remaining_fraction =
       requests_ahead > 0 ? std::max(0.0, 1 - immediately_available / requests_ahead) : 0;
   WaitForecast forecast;
   forecast.ahead = static_cast<std::uint32_t>(requests_ahead * remaining_fraction);
-  const double freed = freed_per_second(figures, room.zone);
-  forecast.wait = scale(time_ahead, remaining_fraction / (freed * to_seconds(*figures.slot_time)));
+  const double freed = freed_per_second(statistics, capacity.zone);
+  forecast.wait =
+      scale(time_ahead, remaining_fraction / (freed * to_seconds(*statistics.slot_time)));
   const double spare = freed - arrivals_per_second;
   if (spare > 0) {
-    const double waiting = position.all.requests + figures.peers.requests;
+    const double waiting = position.all.requests + statistics.peers.requests;
     forecast.time_to_drain = scale(std::chrono::seconds(1), waiting / spare);
   }
   return forecast;
 }
 
-std::optional<RejectionReason> review_wait(const WaitReview& review, TimePoint now) {
-  if (review.standing == AdmissionStanding::kBegun) return std::nullopt;
-  if (now > review.last_start) return RejectionReason::kPastUse;
-  if (!review.forecast) return std::nullopt;
-  const WaitForecast& forecast = *review.forecast;
-  if (now + forecast.wait > review.last_start) return RejectionReason::kPastUse;
-  if (review.standing == AdmissionStanding::kReturned) return std::nullopt;
+std::optional<RejectionReason> review_wait(const WaitReview& input, TimePoint now) {
+  if (input.standing == AdmissionStanding::kBegun) return std::nullopt;
+  if (now > input.last_start) return RejectionReason::kPastUse;
+  if (!input.forecast) return std::nullopt;
+  const WaitForecast& forecast = *input.forecast;
+  if (now + forecast.wait > input.last_start) return RejectionReason::kPastUse;
+  if (input.standing == AdmissionStanding::kReturned) return std::nullopt;
   // No other request that can still be on time needs the next slot.
   if (forecast.ahead == 0) return std::nullopt;
-  const Duration left = review.due - now;
-  if (forecast.wait <= scale(left, kAdmissibleWaitFraction)) return std::nullopt;
-  if (late_slot_precedes_retry(review, now)) return std::nullopt;
+  const Duration remaining = input.due - now;
+  if (forecast.wait <= scale(remaining, kAdmissibleWaitFraction)) return std::nullopt;
+  if (late_slot_precedes_retry(input, now)) return std::nullopt;
   return RejectionReason::kOverloaded;
 }
 
--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -42,12 +42,12 @@
 /// Returns the slots that become free per second while all are in use: the rate of the zone's own
 /// slots, or the measured rate if that is higher because other zones lend slots. Returns 0 if
 /// unknown.
-double freed_per_second(const ServiceFigures& figures, std::uint32_t slots);
+double freed_per_second(const ServiceFigures& statistics, std::uint32_t slots);
 
 /// Predicts the wait for a slot.
 /// @return nothing if the slot time or the number of slots is unknown.
 std::optional<WaitForecast> predict_wait(const QueuePosition& position,
-                                         const ServiceFigures& figures, const SlotRoom& room,
+                                         const ServiceFigures& statistics, const SlotRoom& capacity,
                                          double arrivals_per_second);
 
 /// Inputs of the admission decision.
@@ -61,6 +61,6 @@
 };
 
 /// Returns why the request is rejected now, or nothing if it keeps waiting. Has no side effects.
-std::optional<RejectionReason> review_wait(const WaitReview& review, TimePoint now);
+std::optional<RejectionReason> review_wait(const WaitReview& input, TimePoint now);
 
 }  // namespace stoathold
--- a/src/admission/arrival_swing.cc
+++ b/src/admission/arrival_swing.cc
@@ -76,10 +76,10 @@
 double ArrivalSwing::expected_rate(TimePoint at, TimePoint now) const {
   // A rise in arrivals shows in the newest bins before it shows in the smoothed rate.
   if (at < expected_level_change(now)) return std::max(recent_, newest_mean());
-  const Level& here = in_peak_ ? peak_ : low_;
-  const Level& other = in_peak_ ? low_ : peak_;
-  if (here.rate <= 0 || other.rate <= 0) return mean_;
-  return recent_ * other.rate / here.rate;
+  const Level& current = in_peak_ ? peak_ : low_;
+  const Level& other_level = in_peak_ ? low_ : peak_;
+  if (current.rate <= 0 || other_level.rate <= 0) return mean_;
+  return recent_ * other_level.rate / current.rate;
 }
 
 }  // namespace stoathold
--- a/src/admission/kind_watch.cc
+++ b/src/admission/kind_watch.cc
@@ -12,9 +12,9 @@
 
 }  // namespace
 
-void KindWatch::count(const KindOfRequest& kind, KindOutcome outcome, TimePoint now) {
-  if (classes_.size() >= kMaxClasses && !classes_.contains(kind)) return;
-  Counts& counts = classes_[kind];
+void KindWatch::count(const KindOfRequest& request_class, KindOutcome outcome, TimePoint now) {
+  if (classes_.size() >= kMaxClasses && !classes_.contains(request_class)) return;
+  Counts& counts = classes_[request_class];
   ++counts.total[static_cast<std::size_t>(outcome)];
   const bool placed = outcome != KindOutcome::kNotPlaced;
   (placed ? counts.placed : counts.not_placed).add(1, now);
--- a/src/admission/kind_watch.h
+++ b/src/admission/kind_watch.h
@@ -55,7 +55,7 @@
     DecayingCount not_placed{kDecayTime};
   };
 
-  void count(const KindOfRequest& kind, KindOutcome outcome, TimePoint now);
+  void count(const KindOfRequest& request_class, KindOutcome outcome, TimePoint now);
   /// Returns the classes that were placed less often than a less urgent one, by more than chance
   /// explains.
   [[nodiscard]] std::vector<KindInversion> inversions(TimePoint now) const;
--- a/src/admission/return_times.cc
+++ b/src/admission/return_times.cc
@@ -42,13 +42,13 @@
 }
 
 /// Returns how many more retries can be booked at a time with this rate of available slots.
-double available_bookings(const ReturnQuery& query, const ReturningCallers& callers, TimePoint at,
-                          double per_second) {
+double available_bookings(const ReturnQuery& query, const ReturningCallers& retry_bookings,
+                          TimePoint at, double per_second) {
   const double in_bin = per_second * to_seconds(ReturningCallers::kBookingBin);
-  if (in_bin >= 1) return in_bin - callers.expected_at(query.service, at);
+  if (in_bin >= 1) return in_bin - retry_bookings.expected_at(query.service, at);
   std::uint32_t booked = 0;
   for (int bin = -kWindowBins / 2; bin <= kWindowBins / 2; ++bin) {
-    booked += callers.expected_at(query.service, at + bin * ReturningCallers::kBookingBin);
+    booked += retry_bookings.expected_at(query.service, at + bin * ReturningCallers::kBookingBin);
   }
   return in_bin * kWindowBins - booked;
 }
@@ -83,11 +83,11 @@
 
 }  // namespace
 
-std::optional<ReturnTime> choose_return(const ReturnQuery& query, const ReturningCallers& callers,
-                                        Random& random) {
-  const Duration left = query.deadline - query.now;
-  const Duration latest = scale(left, kMaxRetryFraction) - kRoundTrip;
-  if (latest < kMinRetryDelay || left - latest < query.first_event + kRoundTrip)
+std::optional<ReturnTime> choose_return(const ReturnQuery& query,
+                                        const ReturningCallers& retry_bookings, Random& random) {
+  const Duration remaining = query.deadline - query.now;
+  const Duration latest = scale(remaining, kMaxRetryFraction) - kRoundTrip;
+  if (latest < kMinRetryDelay || remaining - latest < query.first_event + kRoundTrip)
     return std::nullopt;
   if (query.freed_per_second <= 0) {
     return ReturnTime{std::min(latest, scale(kDefaultRetryDelay, 0.5 + random.unit()))};
@@ -97,10 +97,10 @@
   CandidateBins reserved;
   for (Duration start = earliest; start < latest; start += ReturningCallers::kBookingBin) {
     const TimePoint at = query.now + start;
-    low_load.add(start, available_bookings(query, callers, at, spare_slot_rate(query, at)));
+    low_load.add(start, available_bookings(query, retry_bookings, at, spare_slot_rate(query, at)));
     if (low_load.starts.size() == kMaxCandidateBins) break;
     if (start < kMinBookedDelay) continue;
-    reserved.add(start, available_bookings(query, callers, at,
+    reserved.add(start, available_bookings(query, retry_bookings, at,
                                            kBookedSlotFraction * query.freed_per_second));
   }
   if (draws_booking(query, low_load, random)) {
--- a/src/admission/return_times.h
+++ b/src/admission/return_times.h
@@ -36,7 +36,7 @@
 /// before new requests without taking all slots from them; otherwise the latest time for which the
 /// caller waits.
 /// @return nothing if a retry cannot succeed within the caller's deadline.
-std::optional<ReturnTime> choose_return(const ReturnQuery& query, const ReturningCallers& callers,
-                                        Random& random);
+std::optional<ReturnTime> choose_return(const ReturnQuery& query,
+                                        const ReturningCallers& retry_bookings, Random& random);
 
 }  // namespace stoathold
--- a/src/admission/returning_callers.cc
+++ b/src/admission/returning_callers.cc
@@ -31,7 +31,7 @@
 void ReturningCallers::add(std::uint64_t content, const Entry& entry) {
   entries_[content] = entry;
   by_age_.push_back(content);
-  if (!entry.came) ++booked_counts_[bin_of(entry)];
+  if (!entry.arrived) ++booked_counts_[bin_of(entry)];
   while (by_age_.size() > kMaxEntries) {
     const auto oldest = entries_.find(by_age_.front());
     by_age_.pop_front();
@@ -42,7 +42,7 @@
 }
 
 void ReturningCallers::release(const Entry& entry) {
-  if (entry.came) return;
+  if (entry.arrived) return;
   const auto found = booked_counts_.find(bin_of(entry));
   if (found != booked_counts_.end() && --found->second == 0) booked_counts_.erase(found);
 }
@@ -65,10 +65,10 @@
   if (entries_.empty()) return false;
   expire(now);
   const auto found = entries_.find(content);
-  if (found == entries_.end() || found->second.came) return false;
+  if (found == entries_.end() || found->second.arrived) return false;
   if (now + kEarlyTolerance < found->second.return_at) return false;
   release(found->second);
-  found->second.came = true;
+  found->second.arrived = true;
   outgoing_.push_back({content, kReportRepeats});
   return true;
 }
@@ -87,8 +87,8 @@
     const auto found = entries_.find(next.content);
     if (found == entries_.end()) continue;
     const Entry& entry = found->second;
-    reports.push_back(
-        {next.content, entry.service, saturated_milliseconds(entry.return_at - now), entry.came});
+    reports.push_back({next.content, entry.service, saturated_milliseconds(entry.return_at - now),
+                       entry.arrived});
     if (--next.repeats > 0) outgoing_.push_back(next);
   }
   return reports;
@@ -103,9 +103,9 @@
     return;
   }
   // A late or repeated report must not renew the booking of a retry that has already arrived.
-  if (!report.came || found->second.came) return;
+  if (!report.came || found->second.arrived) return;
   release(found->second);
-  found->second.came = true;
+  found->second.arrived = true;
 }
 
 void ReturningCallers::expire(TimePoint now) {
--- a/src/admission/returning_callers.h
+++ b/src/admission/returning_callers.h
@@ -47,7 +47,7 @@
     std::uint64_t service = 0;
     TimePoint return_at{};
     TimePoint recorded_at{};
-    bool came = false;
+    bool arrived = false;
   };
   struct Outgoing {
     std::uint64_t content = 0;
--- a/src/admission/zone_backlog.cc
+++ b/src/admission/zone_backlog.cc
@@ -51,7 +51,7 @@
   }
   while (state.current_bin < bin) {
     const double rate = state.bin().arrivals / to_seconds(ArrivalSwing::kBin);
-    state.swing.observe(rate, TimePoint{state.current_bin * ArrivalSwing::kBin});
+    state.forecaster.observe(rate, TimePoint{state.current_bin * ArrivalSwing::kBin});
     ++state.current_bin;
     state.bin() = Bin{};
   }
@@ -123,17 +123,17 @@
 }
 
 ServiceFigures ZoneBacklog::figures(std::uint64_t service, std::uint8_t priority, TimePoint now) {
-  ServiceFigures figures;
+  ServiceFigures statistics;
   for (const auto& [sender, report] : peers_) {
     const Duration age = now - report.received;
     if (age > kReportLifetime) continue;
     for (const ServiceBacklog& entry : report.entries) {
       if (entry.service != service || entry.priority > priority || entry.waiting == 0) continue;
-      figures.peers += {entry.waiting, std::chrono::milliseconds(entry.waiting_slot_ms)};
-      figures.oldest_report = std::max(figures.oldest_report, age);
+      statistics.peers += {entry.waiting, std::chrono::milliseconds(entry.waiting_slot_ms)};
+      statistics.oldest_report = std::max(statistics.oldest_report, age);
     }
   }
-  if (!services_.contains(service)) return figures;
+  if (!services_.contains(service)) return statistics;
   const ServiceState& state = advance(service, now);
   std::uint32_t freed = 0;
   std::uint64_t freed_ms = 0;
@@ -141,16 +141,16 @@
     freed += bin.freed;
     freed_ms += bin.freed_ms;
   }
-  figures.freed_per_second = freed / (to_seconds(ArrivalSwing::kBin) * kBins);
+  statistics.freed_per_second = freed / (to_seconds(ArrivalSwing::kBin) * kBins);
   if (freed >= kMinFreedSlots) {
-    figures.slot_time = std::chrono::milliseconds(static_cast<std::int64_t>(freed_ms / freed));
+    statistics.slot_time = std::chrono::milliseconds(static_cast<std::int64_t>(freed_ms / freed));
   }
-  return figures;
+  return statistics;
 }
 
 const ArrivalSwing* ZoneBacklog::swing(std::uint64_t service, TimePoint now) {
   if (!services_.contains(service)) return nullptr;
-  return &advance(service, now).swing;
+  return &advance(service, now).forecaster;
 }
 
 }  // namespace stoathold
--- a/src/admission/zone_backlog.h
+++ b/src/admission/zone_backlog.h
@@ -31,9 +31,8 @@
 struct ServiceFigures {
   QueuedWork peers;           ///< On-time work at the other nodes of at least the same urgency.
   Duration oldest_report{0};  ///< Age of the oldest of their reports that was counted.
-  std::optional<Duration>
-      slot_time;                ///< Mean time for which a request holds a slot; empty if unknown.
-  double freed_per_second = 0;  ///< Slots released by requests.
+  std::optional<Duration> slot_time;  ///< Mean time a request holds a slot; empty if unknown.
+  double freed_per_second = 0;        ///< Slots released by requests.
 };
 
 /// Aggregates the latest reports of the zone's nodes, and computes rates from the differences of
@@ -75,7 +74,7 @@
   struct ServiceState {
     std::array<Bin, kBins> bins{};
     std::int64_t current_bin = 0;  ///< Number of the current bin; 0 if there is none yet.
-    ArrivalSwing swing;
+    ArrivalSwing forecaster;
 
     /// Returns the current bin.
     Bin& bin() { return bins.at(static_cast<std::size_t>(current_bin) % kBins); }
--- a/src/tenancy/tenant_gossip.cc
+++ b/src/tenancy/tenant_gossip.cc
@@ -27,22 +27,22 @@
   return limits_.own_changes(full ? kFullReportRepeatTime : kRepeatTime, kMaxInDigest, now);
 }
 
-void TenantGossip::take_report(std::uint64_t node, const std::vector<TenantUsage>& uses,
+void TenantGossip::take_report(std::uint64_t node, const std::vector<TenantUsage>& usages,
                                TimePoint now) {
   zone_nodes_[node] = now;
   departed_zone_nodes_.erase(node);
-  for (const auto& usage : uses) limits_.apply_usage(node, usage, now);
+  for (const auto& usage : usages) limits_.apply_usage(node, usage, now);
   limits_.node_heard(node, now);
 }
 
-bool TenantGossip::take_leave(std::uint64_t node, const std::vector<TenantUsage>& uses,
+bool TenantGossip::take_leave(std::uint64_t node, const std::vector<TenantUsage>& usages,
                               TimePoint now) {
   const bool is_new = !departed_zone_nodes_.contains(node);
   zone_nodes_.erase(node);
   departed_zone_nodes_[node] = now;
   if (!is_new) return false;
   // The message carries the node's last admissions, which count as well.
-  for (const auto& usage : uses) limits_.apply_usage(node, usage, now);
+  for (const auto& usage : usages) limits_.apply_usage(node, usage, now);
   return limits_.on_node_left(node, now);
 }
 
--- a/src/tenancy/tenant_gossip.h
+++ b/src/tenancy/tenant_gossip.h
@@ -27,11 +27,11 @@
   /// those of the last seconds, which makes up for lost messages.
   [[nodiscard]] std::vector<TenantUsage> make_report(bool full, TimePoint now) const;
   /// Applies a digest from a node of the own zone.
-  void take_report(std::uint64_t node, const std::vector<TenantUsage>& uses, TimePoint now);
+  void take_report(std::uint64_t node, const std::vector<TenantUsage>& usages, TimePoint now);
 
   /// Applies the last counters of a node of the own zone that leaves as planned.
   /// @return whether the leave was not known before.
-  bool take_leave(std::uint64_t node, const std::vector<TenantUsage>& uses, TimePoint now);
+  bool take_leave(std::uint64_t node, const std::vector<TenantUsage>& usages, TimePoint now);
   /// Marks this node as leaving as planned; it admits nothing from now on.
   void leave() { leaving_ = true; }
   [[nodiscard]] bool leaving() const { return leaving_; }
--- a/src/tenancy/tenant_limits.h
+++ b/src/tenancy/tenant_limits.h
@@ -123,9 +123,9 @@
   void skip_suspension(TimePoint now);
 
   std::unordered_map<std::uint64_t, Bucket> buckets_;  ///< By hash of the tenant's name.
-  std::map<std::uint64_t, TimePoint>
-      last_heard_;                           ///< Other nodes and when they were last heard from.
-  std::vector<std::uint64_t> silent_nodes_;  ///< Those of them that are silent.
+  /// Other nodes and when they were last heard from.
+  std::map<std::uint64_t, TimePoint> last_heard_;
+  std::vector<std::uint64_t> silent_nodes_;      ///< Those of them that are silent.
   std::map<std::uint64_t, TimePoint> departed_;  ///< Nodes that left as planned, and when.
   std::deque<Change> own_changes_;               ///< Oldest first.
   std::deque<Change> node_changes_;              ///< Changes of other nodes, oldest first.
--- a/tests/admission/admission_control_test.cc
+++ b/tests/admission/admission_control_test.cc
@@ -9,7 +9,7 @@
 
 class AdmissionControlTest : public testing::Test {
  protected:
-  WaitReview newcomer(Duration wait, std::uint32_t ahead = 5) const {
+  WaitReview new_request(Duration wait, std::uint32_t ahead = 5) const {
     return {.standing = AdmissionStanding::kNewcomer,
             .arrival = now,
             .due = now + 250 * kMs,
@@ -21,70 +21,70 @@
 };
 
 TEST_F(AdmissionControlTest, KeepsRequestsThatCanBeOnTime) {
-  EXPECT_FALSE(review_wait(newcomer(150 * kMs), now));
+  EXPECT_FALSE(review_wait(new_request(150 * kMs), now));
 }
 
 TEST_F(AdmissionControlTest, RejectsOnArrivalIfRequestsAheadMakeItLate) {
-  EXPECT_EQ(review_wait(newcomer(400 * kMs), now), RejectionReason::kOverloaded);
+  EXPECT_EQ(review_wait(new_request(400 * kMs), now), RejectionReason::kOverloaded);
 }
 
 TEST_F(AdmissionControlTest, KeepsLateRequestsWithNoOnTimeRequestAhead) {
-  WaitReview review = newcomer(400 * kMs, 0);
-  EXPECT_FALSE(review_wait(review, now));
-  EXPECT_FALSE(review_wait(review, now + 1000 * kMs));
+  WaitReview input = new_request(400 * kMs, 0);
+  EXPECT_FALSE(review_wait(input, now));
+  EXPECT_FALSE(review_wait(input, now + 1000 * kMs));
 }
 
 TEST_F(AdmissionControlTest, KeepsRequestsWithoutForecast) {
-  WaitReview review = newcomer(400 * kMs);
-  review.forecast.reset();
-  EXPECT_FALSE(review_wait(review, now));
-  EXPECT_FALSE(review_wait(review, now + 1800 * kMs));
+  WaitReview input = new_request(400 * kMs);
+  input.forecast.reset();
+  EXPECT_FALSE(review_wait(input, now));
+  EXPECT_FALSE(review_wait(input, now + 1800 * kMs));
 }
 
 TEST_F(AdmissionControlTest, RejectsAfterCallerTimeoutWithOrWithoutForecast) {
-  WaitReview review = newcomer(50 * kMs);
-  EXPECT_EQ(review_wait(review, now + 1901 * kMs), RejectionReason::kPastUse);
-  review.forecast.reset();
-  EXPECT_EQ(review_wait(review, now + 1901 * kMs), RejectionReason::kPastUse);
+  WaitReview input = new_request(50 * kMs);
+  EXPECT_EQ(review_wait(input, now + 1901 * kMs), RejectionReason::kPastUse);
+  input.forecast.reset();
+  EXPECT_EQ(review_wait(input, now + 1901 * kMs), RejectionReason::kPastUse);
 }
 
 TEST_F(AdmissionControlTest, RejectsBookedRetriesOnlyAfterCallerTimeout) {
-  WaitReview review = newcomer(400 * kMs);
-  review.standing = AdmissionStanding::kReturned;
-  EXPECT_FALSE(review_wait(review, now));
-  review.forecast->wait = 1950 * kMs;
-  EXPECT_EQ(review_wait(review, now), RejectionReason::kPastUse);
+  WaitReview input = new_request(400 * kMs);
+  input.standing = AdmissionStanding::kReturned;
+  EXPECT_FALSE(review_wait(input, now));
+  input.forecast->wait = 1950 * kMs;
+  EXPECT_EQ(review_wait(input, now), RejectionReason::kPastUse);
 }
 
 TEST_F(AdmissionControlTest, KeepsStartedRequests) {
-  WaitReview review = newcomer(4000 * kMs);
-  review.standing = AdmissionStanding::kBegun;
-  EXPECT_FALSE(review_wait(review, now + 3000 * kMs));
+  WaitReview input = new_request(4000 * kMs);
+  input.standing = AdmissionStanding::kBegun;
+  EXPECT_FALSE(review_wait(input, now + 3000 * kMs));
 }
 
 // A caller rejected after a long wait would be served later by its retry than by waiting on.
 TEST_F(AdmissionControlTest, KeepsWaitingRequestsIfALateSlotPrecedesTheRetry) {
-  WaitReview review = newcomer(400 * kMs);
-  review.forecast->time_to_drain = 200 * kMs;
-  EXPECT_EQ(review_wait(review, now), RejectionReason::kOverloaded);
-  EXPECT_FALSE(review_wait(review, now + 200 * kMs));
-  review.retry_after = 150 * kMs;
-  EXPECT_EQ(review_wait(review, now + 200 * kMs), RejectionReason::kOverloaded);
+  WaitReview input = new_request(400 * kMs);
+  input.forecast->time_to_drain = 200 * kMs;
+  EXPECT_EQ(review_wait(input, now), RejectionReason::kOverloaded);
+  EXPECT_FALSE(review_wait(input, now + 200 * kMs));
+  input.retry_after = 150 * kMs;
+  EXPECT_EQ(review_wait(input, now + 200 * kMs), RejectionReason::kOverloaded);
 }
 
 // A late slot further ahead than the objective cannot be forecast reliably.
 TEST_F(AdmissionControlTest, RejectsWaitingRequestsIfTheLateSlotIsBeyondTheObjective) {
-  WaitReview review = newcomer(400 * kMs);
-  review.forecast->time_to_drain = 500 * kMs;
-  EXPECT_EQ(review_wait(review, now + 200 * kMs), RejectionReason::kOverloaded);
+  WaitReview input = new_request(400 * kMs);
+  input.forecast->time_to_drain = 500 * kMs;
+  EXPECT_EQ(review_wait(input, now + 200 * kMs), RejectionReason::kOverloaded);
 }
 
 TEST_F(AdmissionControlTest, PredictsWaitFromSlotTimeAheadAndSlots) {
-  ServiceFigures figures;
-  figures.slot_time = 700 * kMs;
-  figures.peers = {60, 60 * 700 * kMs};
+  ServiceFigures statistics;
+  statistics.slot_time = 700 * kMs;
+  statistics.peers = {60, 60 * 700 * kMs};
   const QueuePosition last{.ahead = {9, 9 * 700 * kMs}, .all = {10, 10 * 700 * kMs}};
-  const auto forecast = predict_wait(last, figures, {.zone = 120}, 100);
+  const auto forecast = predict_wait(last, statistics, {.zone = 120}, 100);
   ASSERT_TRUE(forecast);
   EXPECT_EQ(forecast->ahead, 69U);
   EXPECT_NEAR(to_seconds(forecast->wait), 69 * 0.7 / 120, 0.001);
@@ -92,27 +92,27 @@
   EXPECT_NEAR(to_seconds(*forecast->time_to_drain), 70 / (120 / 0.7 - 100), 0.001);
   // The first of ten requests here is preceded by a tenth of the zone's waiting requests.
   const QueuePosition first{.ahead = {}, .all = {10, 10 * 700 * kMs}};
-  EXPECT_EQ(predict_wait(first, figures, {.zone = 120}, 100)->ahead, 6U);
+  EXPECT_EQ(predict_wait(first, statistics, {.zone = 120}, 100)->ahead, 6U);
 }
 
 // A full zone next to one with free slots: if requests were rejected at once, none would remain for
 // which slots are borrowed.
 TEST_F(AdmissionControlTest, SubtractsSlotsLentByOtherZonesFromRequestsAhead) {
-  ServiceFigures figures;
-  figures.slot_time = 700 * kMs;
-  figures.peers = {60, 60 * 700 * kMs};
+  ServiceFigures statistics;
+  statistics.slot_time = 700 * kMs;
+  statistics.peers = {60, 60 * 700 * kMs};
   const QueuePosition alone{.ahead = {}, .all = {1, 700 * kMs}};
-  const auto some = predict_wait(alone, figures, {.zone = 120, .spare_elsewhere = 30}, 100);
+  const auto some = predict_wait(alone, statistics, {.zone = 120, .spare_elsewhere = 30}, 100);
   EXPECT_EQ(some->ahead, 30U);
   EXPECT_NEAR(to_seconds(some->wait), 30 * 0.7 / 120, 0.001);
-  EXPECT_EQ(predict_wait(alone, figures, {.zone = 120, .spare_elsewhere = 90}, 100)->ahead, 0U);
+  EXPECT_EQ(predict_wait(alone, statistics, {.zone = 120, .spare_elsewhere = 90}, 100)->ahead, 0U);
 }
 
 TEST_F(AdmissionControlTest, GivesNoForecastWithoutSlotTimeOrSlots) {
   EXPECT_FALSE(predict_wait({}, ServiceFigures{}, {.zone = 120}, 100));
-  ServiceFigures figures;
-  figures.slot_time = 700 * kMs;
-  EXPECT_FALSE(predict_wait({}, figures, {}, 100));
+  ServiceFigures statistics;
+  statistics.slot_time = 700 * kMs;
+  EXPECT_FALSE(predict_wait({}, statistics, {}, 100));
 }
 
 }  // namespace
--- a/tests/admission/admission_replay.h
+++ b/tests/admission/admission_replay.h
@@ -96,7 +96,7 @@
         outcome_.batch_slots += batch_;
       }
       if (scenario_.measures_rejection_delay) record_certain_rejections();
-      if (step % 5 == 0) review_all();
+      if (step % 5 == 0) check_waiting();
       remove_abandoned();
       report(step);
     }
@@ -217,38 +217,39 @@
     if (!own_in_time) position.ahead = position.all;
     return position;
   }
-  [[nodiscard]] WaitReview review_of(Node& node, const Caller& caller, const QueuePosition& place) {
-    WaitReview review{.standing = caller.standing,
-                      .arrival = caller.attempt,
-                      .due = caller.due(),
-                      .last_start = caller.last_start(),
-                      .forecast = std::nullopt,
-                      .retry_after = std::nullopt};
-    const ServiceFigures figures = node.backlog.figures(kService, 0, now_);
-    const ArrivalSwing* swing = node.backlog.swing(kService, now_);
-    review.forecast = predict_wait(place, figures, room(), swing ? swing->rate() : 0);
-    if (!review_wait(review, now_)) return review;
-    ahead_without_batch_ = predict_wait(place, figures, {.zone = scenario_.slots}, 0)->ahead;
+  [[nodiscard]] WaitReview input_for(Node& node, const Caller& caller, const QueuePosition& place) {
+    WaitReview input{.standing = caller.standing,
+                     .arrival = caller.attempt,
+                     .due = caller.due(),
+                     .last_start = caller.last_start(),
+                     .forecast = std::nullopt,
+                     .retry_after = std::nullopt};
+    const ServiceFigures statistics = node.backlog.figures(kService, 0, now_);
+    const ArrivalSwing* forecaster = node.backlog.swing(kService, now_);
+    input.forecast =
+        predict_wait(place, statistics, slot_capacity(), forecaster ? forecaster->rate() : 0);
+    if (!review_wait(input, now_)) return input;
+    ahead_without_batch_ = predict_wait(place, statistics, {.zone = scenario_.slots}, 0)->ahead;
     retry_ = choose_return({.service = kService,
                             .now = now_,
                             .deadline = caller.first_arrival + kDeadline,
                             .first_event = kFirstEvent,
-                            .wait = review.forecast ? review.forecast->wait : Duration{0},
-                            .freed_per_second = freed_per_second(figures, scenario_.slots),
-                            .swing = swing},
+                            .wait = input.forecast ? input.forecast->wait : Duration{0},
+                            .freed_per_second = freed_per_second(statistics, scenario_.slots),
+                            .swing = forecaster},
                            node.returning, random_);
-    if (retry_) review.retry_after = retry_->after;
-    return review;
+    if (retry_) input.retry_after = retry_->after;
+    return input;
   }
   bool reject_if_due(Node& node, const Caller& caller, const QueuePosition& place) {
-    const WaitReview review = review_of(node, caller, place);
-    if (!review_wait(review, now_)) return false;
+    const WaitReview input = input_for(node, caller, place);
+    if (!review_wait(input, now_)) return false;
     if (free_slots_now() > 0) ++outcome_.rejected_despite_idle;
     if (batch_ > ahead_without_batch_) ++outcome_.rejected_despite_batch;
     const bool noticed = caller.rejection_certain_since != TimePoint{};
     rejection_delays_.push_back(noticed ? to_seconds(now_ - caller.rejection_certain_since) * 1000
                                         : 0);
-    reject(node, caller, review.retry_after);
+    reject(node, caller, input.retry_after);
     return true;
   }
   /// Callers retry once: at the given time, or soon after if none was given.
@@ -256,7 +257,7 @@
     for (Node& node : nodes_) {
       for (Caller& caller : node.waiting) {
         const bool certain =
-            review_wait(review_of(node, caller, position(node, caller)), now_).has_value();
+            review_wait(input_for(node, caller, position(node, caller)), now_).has_value();
         if (!certain) caller.rejection_certain_since = {};
         if (certain && caller.rejection_certain_since == TimePoint{})
           caller.rejection_certain_since = now_;
@@ -277,7 +278,7 @@
       ++outcome_.rejected;
     }
   }
-  void review_all() {
+  void check_waiting() {
     for (Node& node : nodes_) {
       if (scenario_.strategy == Strategy::kPredictedWait) {
         std::vector<Caller> kept;
@@ -389,7 +390,9 @@
   [[nodiscard]] bool has_slot() const {
     return free_slots_now() > 0 || (batch_ > 0 && yield_ends_.size() < scenario_.slots / 8);
   }
-  [[nodiscard]] SlotRoom room() const { return {.zone = scenario_.slots, .of_batch = batch_}; }
+  [[nodiscard]] SlotRoom slot_capacity() const {
+    return {.zone = scenario_.slots, .of_batch = batch_};
+  }
   /// Of the latest review, without counting slots that are available at once.
   Duration preempt_batch() {
     if (free_slots_now() > 0) return Duration{0};
@@ -464,7 +467,7 @@
   std::uint64_t incarnation_ = 0;
   using Busy = std::pair<TimePoint, std::pair<std::size_t, Duration>>;
   std::priority_queue<Busy, std::vector<Busy>, std::greater<>> busy_;
-  std::uint32_t ahead_without_batch_ = 0;  ///< Of the latest review.
+  std::uint32_t ahead_without_batch_ = 0;  ///< Of the latest input.
   std::optional<ReturnTime> retry_;   ///< Slots held by batch items that were not asked to yield.
   std::uint32_t batch_ = 0;           ///< When the yielding items end.
   std::queue<TimePoint> yield_ends_;  ///< When those that were asked have ended.
--- a/tests/admission/kind_watch_test.cc
+++ b/tests/admission/kind_watch_test.cc
@@ -7,8 +7,8 @@
 
 class PriorityInversionMonitorTest : public testing::Test {
  protected:
-  void count(const KindOfRequest& kind, KindOutcome outcome, int times) {
-    for (int i = 0; i < times; ++i) watch.count(kind, outcome, now);
+  void count(const KindOfRequest& request_class, KindOutcome outcome, int times) {
+    for (int i = 0; i < times; ++i) watch.count(request_class, outcome, now);
   }
 
   TimePoint now{std::chrono::seconds(100)};
--- a/tests/admission/return_times_test.cc
+++ b/tests/admission/return_times_test.cc
@@ -22,7 +22,7 @@
     while (now - start < length) {
       const double phase = std::fmod(to_seconds(now - start), 5.8);
       now += ArrivalSwing::kBin;
-      swing.observe(phase < 3.4 ? 46 : 224, now);
+      forecaster.observe(phase < 3.4 ? 46 : 224, now);
     }
   }
   [[nodiscard]] ReturnQuery query() const {
@@ -32,15 +32,15 @@
             .first_event = 45 * kMs,
             .wait = 300 * kMs,
             .freed_per_second = 171,
-            .swing = &swing};
+            .swing = &forecaster};
   }
   std::optional<ReturnTime> choose_and_book() {
-    const auto retry = choose_return(query(), callers, random);
-    if (retry && retry->promised) callers.tell(++contents, kService, now + retry->after, now);
+    const auto retry = choose_return(query(), bookings, random);
+    if (retry && retry->promised) bookings.tell(++contents, kService, now + retry->after, now);
     return retry;
   }
-  ArrivalSwing swing;
-  ReturningCallers callers;
+  ArrivalSwing forecaster;
+  ReturningCallers bookings;
   Random random{1};
   std::uint64_t contents = 0;
   TimePoint now{std::chrono::hours(1)};
@@ -48,8 +48,8 @@
 
 TEST_F(RetryTimesTest, ForecastsTheEndOfAPeak) {
   simulate_oscillation(2 * 5800 * kMs + 3400 * kMs + 1200 * kMs);
-  EXPECT_NEAR(swing.expected_rate(now + 500 * kMs, now), 224, 30);
-  EXPECT_NEAR(swing.expected_rate(now + 1500 * kMs, now), 46, 15);
+  EXPECT_NEAR(forecaster.expected_rate(now + 500 * kMs, now), 224, 30);
+  EXPECT_NEAR(forecaster.expected_rate(now + 1500 * kMs, now), 46, 15);
 }
 
 TEST_F(RetryTimesTest, RetriesFromAPeakSpreadOverTheNextLowPhase) {
@@ -103,9 +103,9 @@
   simulate_oscillation(2 * 5800 * kMs);
   ReturnQuery late = query();
   late.deadline = now + 150 * kMs;
-  EXPECT_FALSE(choose_return(late, callers, random));
+  EXPECT_FALSE(choose_return(late, bookings, random));
   late.deadline = now - 10 * kMs;
-  EXPECT_FALSE(choose_return(late, callers, random));
+  EXPECT_FALSE(choose_return(late, bookings, random));
 }
 
 TEST_F(RetryTimesTest, StaysWithinTheCallersPatience) {
@@ -113,7 +113,7 @@
   for (int left_ms = 500; left_ms < 5000; left_ms += 250) {
     ReturnQuery some = query();
     some.deadline = now + left_ms * kMs;
-    const auto retry = choose_return(some, callers, random);
+    const auto retry = choose_return(some, bookings, random);
     EXPECT_LE(retry.value_or(ReturnTime{}).after, left_ms * kMs / 3);
   }
 }
@@ -122,8 +122,8 @@
   ReturnQuery unknown = query();
   unknown.freed_per_second = 0;
   unknown.swing = nullptr;
-  const auto first = choose_return(unknown, callers, random);
-  const auto second = choose_return(unknown, callers, random);
+  const auto first = choose_return(unknown, bookings, random);
+  const auto second = choose_return(unknown, bookings, random);
   ASSERT_TRUE(first && second);
   EXPECT_NE(first->after, second->after);
   EXPECT_LE(std::max(first->after, second->after), 300 * kMs);
@@ -134,9 +134,9 @@
   simulate_oscillation(2 * 5800 * kMs + 3400 * kMs);
   for (int i = 0; i < 12; ++i) {
     now += ArrivalSwing::kBin;
-    swing.observe(2 * 224, now);
+    forecaster.observe(2 * 224, now);
   }
-  EXPECT_NEAR(swing.expected_rate(now + 1500 * kMs, now), 2 * 46, 30);
+  EXPECT_NEAR(forecaster.expected_rate(now + 1500 * kMs, now), 2 * 46, 30);
 }
 
 }  // namespace
--- a/tests/admission/zone_backlog_test.cc
+++ b/tests/admission/zone_backlog_test.cc
@@ -28,12 +28,12 @@
 
 TEST_F(ZoneBacklogTest, ComputesStatisticsFromCounterDifferences) {
   for (int i = 0; i < 100; ++i, now += 20 * kMs) backlog.take(1, report(3, 4), now);
-  const ServiceFigures figures = backlog.figures(kService, 0, now);
-  EXPECT_EQ(figures.peers.requests, 3U);
-  EXPECT_EQ(figures.slot_time, 700 * kMs);
-  EXPECT_NEAR(figures.freed_per_second, 200, 15);
+  const ServiceFigures statistics = backlog.figures(kService, 0, now);
+  EXPECT_EQ(statistics.peers.requests, 3U);
+  EXPECT_EQ(statistics.slot_time, 700 * kMs);
+  EXPECT_NEAR(statistics.freed_per_second, 200, 15);
   EXPECT_NEAR(backlog.swing(kService, now)->rate(), 200, 15);
-  EXPECT_EQ(figures.oldest_report, 20 * kMs);
+  EXPECT_EQ(statistics.oldest_report, 20 * kMs);
 }
 
 TEST_F(ZoneBacklogTest, ToleratesLostReports) {
@@ -50,9 +50,9 @@
     backlog.take(1, next, now);
     backlog.take(1, next, now);
   }
-  const ServiceFigures figures = backlog.figures(kService, 0, now);
-  EXPECT_NEAR(figures.freed_per_second, 200, 15);
-  EXPECT_EQ(figures.peers.requests, 3U);
+  const ServiceFigures statistics = backlog.figures(kService, 0, now);
+  EXPECT_NEAR(statistics.freed_per_second, 200, 15);
+  EXPECT_EQ(statistics.peers.requests, 3U);
 }
 
 TEST_F(ZoneBacklogTest, IgnoresOutOfOrderReports) {
@@ -84,9 +84,9 @@
   for (int i = 0; i < 100; ++i, now += 20 * kMs) backlog.take(1, report(3, 4), now);
   now += std::chrono::seconds(10);
   backlog.take(1, report(3, 2000), now);
-  const ServiceFigures figures = backlog.figures(kService, 0, now);
-  EXPECT_FALSE(figures.slot_time);
-  EXPECT_EQ(figures.freed_per_second, 0);
+  const ServiceFigures statistics = backlog.figures(kService, 0, now);
+  EXPECT_FALSE(statistics.slot_time);
+  EXPECT_EQ(statistics.freed_per_second, 0);
 }
 
 TEST_F(ZoneBacklogTest, CountsRestartedNodesFromTheirFirstReport) {
--- a/tests/tenancy/limit_fleet.h
+++ b/tests/tenancy/limit_fleet.h
@@ -49,10 +49,9 @@
 struct Outcome {
   /// Maximum admitted in a window relative to the allowed number; at most 1 is allowed.
   double overshoot = 0;
-  double excess_rejections =
-      0;                ///< Per 1,000 requests, beyond the rejections of a single global bucket.
-  double messages = 0;  ///< Sent per node and second.
-  double waited = 0;    ///< Per 1,000 requests, those that had to wait for another node.
+  double excess_rejections = 0;  ///< Per 1,000 requests, beyond those of a global bucket.
+  double messages = 0;           ///< Sent per node and second.
+  double waited = 0;             ///< Per 1,000 requests, those that had to wait for another node.
 };
 
 /// An implementation of the limits.
--- a/tests/tenancy/tenant_gossip_test.cc
+++ b/tests/tenancy/tenant_gossip_test.cc
@@ -89,8 +89,7 @@
   remote.gossip.take_report(4, {}, now);
   remote.gossip.check_silence(now);
   EXPECT_EQ(neighbour.limits.silent_nodes(), 0U);
-  EXPECT_EQ(remote.limits.silent_nodes(),
-            1U);  // The neighbour, which has not been heard from since.
+  EXPECT_EQ(remote.limits.silent_nodes(), 1U);  // The neighbour, silent since.
 }
 
 TEST(TenantGossipTest, CountsTheLastAdmissionsOfALeavingNodeOnce) {
--- a/tests/tenancy/tenant_limits_test.cc
+++ b/tests/tenancy/tenant_limits_test.cc
@@ -219,10 +219,10 @@
   for (int i = 0; i < 1000; ++i) EXPECT_TRUE(limits.admit(unlimited, now).admitted);
 }
 
-// Guards against a departed node that keeps its share of each limit for 20 s because it cannot be
-// told from a partitioned one: with half of the requests at each of two nodes, the remaining one
-// then rejected half of what the limit allows. The bounds require that no part of the limit is lost
-// and none admitted twice.
+// Guards against a departed node that keeps its share of each limit for 20 s because it looks like
+// a partitioned one: with half of the requests at each of two nodes, the remaining one then
+// rejected half of what the limit allows. The bounds require that no part of the limit is lost and
+// none admitted twice.
 TEST_F(TenantRateLimiterTest, ShareOfADepartedNodeIsRedistributedAtOnce) {
   std::uint32_t peer_total = 0;
   for (int second = 0; second < 20; ++second) {
