--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -68,10 +68,10 @@
 
 std::optional<RejectionReason> review_wait(const WaitReview& input, TimePoint now) {
   if (input.standing == AdmissionStanding::kBegun) return std::nullopt;
-  if (now > input.last_start) return RejectionReason::kPastUse;
+  if (now > input.last_start) return RejectionReason::kTooLate;
   if (!input.forecast) return std::nullopt;
   const WaitForecast& forecast = *input.forecast;
-  if (now + forecast.wait > input.last_start) return RejectionReason::kPastUse;
+  if (now + forecast.wait > input.last_start) return RejectionReason::kTooLate;
   if (input.standing == AdmissionStanding::kReturned) return std::nullopt;
   // No other request that can still be on time needs the next slot.
   if (forecast.ahead == 0) return std::nullopt;
--- a/src/admission/placement_rejection.h
+++ b/src/admission/placement_rejection.h
@@ -12,13 +12,13 @@
 
 /// Why a request is rejected before its caller gives up.
 enum class RejectionReason : std::uint8_t {
-  kPastUse,     ///< Its first event cannot arrive before its caller gives up.
+  kTooLate,     ///< Its first event cannot arrive before its caller gives up.
   kOverloaded,  ///< The requests ahead of it use all slots until it is due.
 };
 
 /// Returns the reason's name for logs and metrics.
 constexpr std::string_view to_string(RejectionReason reason) {
-  return reason == RejectionReason::kPastUse ? "past_use" : "overloaded";
+  return reason == RejectionReason::kTooLate ? "past_use" : "overloaded";
 }
 
 /// Rejection of a request that has not run.
--- a/src/admission/return_times.cc
+++ b/src/admission/return_times.cc
@@ -42,7 +42,7 @@
 }
 
 /// Returns how many more retries can be booked at a time with this rate of available slots.
-double available_bookings(const ReturnQuery& query, const ReturningCallers& retry_bookings,
+double available_bookings(const RetryQuery& query, const ReturningCallers& retry_bookings,
                           TimePoint at, double per_second) {
   const double in_bin = per_second * to_seconds(ReturningCallers::kBookingBin);
   if (in_bin >= 1) return in_bin - retry_bookings.expected_at(query.service, at);
@@ -68,7 +68,7 @@
 /// Returns whether this request wins one of the bookings. All nodes reject in the same peak and
 /// learn of each other's bookings late, so the requests rejected meanwhile anywhere in the zone
 /// share the available bookings.
-bool draws_booking(const ReturnQuery& query, const CandidateBins& candidates, Random& random) {
+bool draws_booking(const RetryQuery& query, const CandidateBins& candidates, Random& random) {
   const double arrivals = query.swing == nullptr ? 0 : query.swing->rate();
   const double competitors =
       (arrivals - query.freed_per_second) * to_seconds(kBookingPropagationDelay);
@@ -76,14 +76,14 @@
 }
 
 /// Returns the slots per second left at a time after the expected arrivals.
-double spare_slot_rate(const ReturnQuery& query, TimePoint at) {
+double spare_slot_rate(const RetryQuery& query, TimePoint at) {
   const double arrivals = query.swing == nullptr ? 0 : query.swing->expected_rate(at, query.now);
   return kTargetUtilization * query.freed_per_second - arrivals;
 }
 
 }  // namespace
 
-std::optional<ReturnTime> choose_return(const ReturnQuery& query,
+std::optional<ReturnTime> choose_return(const RetryQuery& query,
                                         const ReturningCallers& retry_bookings, Random& random) {
   const Duration remaining = query.deadline - query.now;
   const Duration latest = scale(remaining, kMaxRetryFraction) - kRoundTrip;
--- a/src/admission/return_times.h
+++ b/src/admission/return_times.h
@@ -12,7 +12,7 @@
 namespace stoathold {
 
 /// Inputs for choosing a retry time.
-struct ReturnQuery {
+struct RetryQuery {
   std::uint64_t service = 0;
   TimePoint now{};
   TimePoint deadline{};                 ///< Deadline of the caller.
@@ -36,7 +36,7 @@
 /// before new requests without taking all slots from them; otherwise the latest time for which the
 /// caller waits.
 /// @return nothing if a retry cannot succeed within the caller's deadline.
-std::optional<ReturnTime> choose_return(const ReturnQuery& query,
+std::optional<ReturnTime> choose_return(const RetryQuery& query,
                                         const ReturningCallers& retry_bookings, Random& random);
 
 }  // namespace stoathold
--- a/tests/admission/admission_control_test.cc
+++ b/tests/admission/admission_control_test.cc
@@ -43,9 +43,9 @@
 
 TEST_F(AdmissionControlTest, RejectsAfterCallerTimeoutWithOrWithoutForecast) {
   WaitReview input = new_request(50 * kMs);
-  EXPECT_EQ(review_wait(input, now + 1901 * kMs), RejectionReason::kPastUse);
+  EXPECT_EQ(review_wait(input, now + 1901 * kMs), RejectionReason::kTooLate);
   input.forecast.reset();
-  EXPECT_EQ(review_wait(input, now + 1901 * kMs), RejectionReason::kPastUse);
+  EXPECT_EQ(review_wait(input, now + 1901 * kMs), RejectionReason::kTooLate);
 }
 
 TEST_F(AdmissionControlTest, RejectsBookedRetriesOnlyAfterCallerTimeout) {
@@ -53,7 +53,7 @@
   input.standing = AdmissionStanding::kReturned;
   EXPECT_FALSE(review_wait(input, now));
   input.forecast->wait = 1950 * kMs;
-  EXPECT_EQ(review_wait(input, now), RejectionReason::kPastUse);
+  EXPECT_EQ(review_wait(input, now), RejectionReason::kTooLate);
 }
 
 TEST_F(AdmissionControlTest, KeepsStartedRequests) {
--- a/tests/admission/return_times_test.cc
+++ b/tests/admission/return_times_test.cc
@@ -25,7 +25,7 @@
       forecaster.observe(phase < 3.4 ? 46 : 224, now);
     }
   }
-  [[nodiscard]] ReturnQuery query() const {
+  [[nodiscard]] RetryQuery query() const {
     return {.service = kService,
             .now = now,
             .deadline = now + 5000 * kMs,
@@ -101,7 +101,7 @@
 
 TEST_F(RetryTimesTest, GivesNoTimeIfARetryCannotSucceed) {
   simulate_oscillation(2 * 5800 * kMs);
-  ReturnQuery late = query();
+  RetryQuery late = query();
   late.deadline = now + 150 * kMs;
   EXPECT_FALSE(choose_return(late, bookings, random));
   late.deadline = now - 10 * kMs;
@@ -111,7 +111,7 @@
 TEST_F(RetryTimesTest, StaysWithinTheCallersPatience) {
   simulate_oscillation(2 * 5800 * kMs);
   for (int left_ms = 500; left_ms < 5000; left_ms += 250) {
-    ReturnQuery some = query();
+    RetryQuery some = query();
     some.deadline = now + left_ms * kMs;
     const auto retry = choose_return(some, bookings, random);
     EXPECT_LE(retry.value_or(ReturnTime{}).after, left_ms * kMs / 3);
@@ -119,7 +119,7 @@
 }
 
 TEST_F(RetryTimesTest, WithoutStatisticsUsesTheDefaultDelayWithJitter) {
-  ReturnQuery unknown = query();
+  RetryQuery unknown = query();
   unknown.freed_per_second = 0;
   unknown.swing = nullptr;
   const auto first = choose_return(unknown, bookings, random);
