--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -139,7 +139,7 @@
   if (known) return;
   request.until = until;
   log_event(Event::kRequestQuarantined, {{"content", to_hex(value_of(content))},
-                                         {"ends", std::to_string(record.exits)},
+                                         {"ends", std::to_string(record.ends)},
                                          {"source", "log"}});
   if (change_listener_) change_listener_();
 }
--- a/src/quarantine/quarantine_messages.h
+++ b/src/quarantine/quarantine_messages.h
@@ -37,11 +37,11 @@
 struct QuarantineRecord {
   /// Wall clock time of the quarantine at the node that wrote the record.
   std::int64_t since_ms = 0;
-  std::uint32_t exits = 0;  ///< Number of runners that had exited with the request.
+  std::uint32_t ends = 0;  ///< Number of runners that had exited with the request.
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(since_ms, exits);
+    archive(since_ms, ends);
   }
 };
 
