--- a/tests/admission/admission_replay_test.cc
+++ b/tests/admission/admission_replay_test.cc
@@ -80,7 +80,7 @@
 // on time, compared to 70% without rejections. Rejections may cost at most 2 percentage points of
 // these. At 89 nodes the 99th percentile of single seeds exceeds the objective, so the bound there
 // is on the late requests.
-TEST(AdmissionReplayTest, RejectionsDoNotReduceTheRequestsServedOnTime) {
+TEST(AdmissionReplayTest, RejectionsBarelyReduceTheRequestsServedOnTime) {
   for (const auto& [nodes, delay_ms] : {std::pair{1, 0}, std::pair{9, 20}, std::pair{89, 50}}) {
     double served = 0;
     double without = 0;
