--- a/src/store/append_size.h
+++ b/src/store/append_size.h
@@ -1,5 +1,5 @@
 /// @file
-/// How large the next append to the log may be.
+/// Adaptive size limit for appends to the log.
 #pragma once
 
 #include <algorithm>
@@ -9,26 +9,27 @@
 
 namespace stoathold {
 
-/// Learns what comes through in the time of one call: after an append without an answer half as
-/// much is sent, and twice as much once one came through. An append that is late is sent again
-/// whole: 100 results of 12 kB take 0.96 s on 10 Mbit/s by themselves, of the second that a call
-/// has, and a submission of 300 kB, of which a caller tries several, never came through on 5.
+/// Adapts the size of appends to what the link carries within one call's timeout: the size halves
+/// after an append that was not answered and doubles after one that succeeded. A timed-out append
+/// has to be resent whole: 100 results of 12 kB alone take 0.96 s on a 10 Mbit/s link, where a call
+/// times out after 1 s. On 5 Mbit/s, a 300 kB submission, of which a caller attempts several, never
+/// completed.
 class AppendSize {
  public:
-  explicit AppendSize(std::uint64_t most) : most_(most), bytes_(most) {}
+  explicit AppendSize(std::uint64_t max_bytes) : max_bytes_(max_bytes), bytes_(max_bytes) {}
 
   [[nodiscard]] std::uint64_t bytes() const { return bytes_; }
-  /// An append of this size ended so.
+  /// Adjusts the size to the outcome of an append of the current size.
   void observe(LogStatus status) {
-    if (status == LogStatus::kOk) bytes_ = std::min(bytes_ * 2, most_);
-    if (status == LogStatus::kUnknown) bytes_ = std::max(bytes_ / 2, kLeast);
+    if (status == LogStatus::kOk) bytes_ = std::min(bytes_ * 2, max_bytes_);
+    if (status == LogStatus::kUnknown) bytes_ = std::max(bytes_ / 2, kMinBytes);
   }
 
  private:
-  /// Takes 26 ms on 5 Mbit/s.
-  static constexpr std::uint64_t kLeast = 16UL * 1024;
+  /// Transfers in 26 ms at 5 Mbit/s.
+  static constexpr std::uint64_t kMinBytes = 16UL * 1024;
 
-  std::uint64_t most_;
+  std::uint64_t max_bytes_;
   std::uint64_t bytes_;
 };
 
--- a/src/store/append_until.cc
+++ b/src/store/append_until.cc
@@ -12,8 +12,8 @@
 asio::awaitable<AppendResult> append_until(asio::any_io_executor executor, RecordLog& log,
                                            PartitionName partition,
                                            std::vector<KeyedRecord> records, TimePoint deadline,
-                                           BackoffBounds retries) {
-  Backoff backoff(retries);
+                                           BackoffBounds backoff_bounds) {
+  Backoff backoff(backoff_bounds);
   Timer timer(executor);
   while (true) {
     const AppendResult result = co_await log.append(partition, records, std::nullopt);
--- a/src/store/append_until.h
+++ b/src/store/append_until.h
@@ -1,5 +1,5 @@
 /// @file
-/// Appending to the log again and again until it is done.
+/// Appends to the log with retries.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -11,11 +11,12 @@
 
 namespace stoathold {
 
-/// Appends records until the log has answered that they are durable, or refuses them for good, or
-/// the time is up. Records whose answer was lost may stand in the log more than once.
+/// Retries an append with backoff until the log acknowledges it as durable, rejects it permanently,
+/// or the deadline would pass during the next wait. Records may be duplicated in the log if an
+/// acknowledgement was lost. The log outlives the call.
 boost::asio::awaitable<AppendResult> append_until(boost::asio::any_io_executor executor,
                                                   RecordLog& log, PartitionName partition,
                                                   std::vector<KeyedRecord> records,
-                                                  TimePoint deadline, BackoffBounds retries);
+                                                  TimePoint deadline, BackoffBounds backoff_bounds);
 
 }  // namespace stoathold
--- a/src/store/newest_read.cc
+++ b/src/store/newest_read.cc
@@ -6,11 +6,11 @@
 namespace stoathold {
 
 boost::asio::awaitable<ReadResult> NewestRead::run(RecordLog& log, PartitionName partition,
-                                                   KeyRange range, Duration patience) {
+                                                   KeyRange range, Duration page_timeout) {
   ReadResult result = pages_;
   range.after = std::max(range.after, result.resume_after);
   const bool first = result.resume_after.empty();
-  ReadResult read = co_await log.read_newest(partition, range, patience);
+  ReadResult read = co_await log.read_newest(partition, range, page_timeout);
   result.status = read.status;
   if (first) result.end = read.end;
   std::move(read.records.begin(), read.records.end(), std::back_inserter(result.records));
--- a/src/store/newest_read.h
+++ b/src/store/newest_read.h
@@ -1,5 +1,5 @@
 /// @file
-/// A read of many newest records that keeps the pages which came through.
+/// A paged read of the newest records that resumes after a failed page.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -8,18 +8,20 @@
 
 namespace stoathold {
 
-/// Reads the newest records of a range. When a page fails, those before it are kept, and the next
-/// run goes on behind them: to read them all again would keep a large partition from ever being
-/// read whole where each page fails now and then. Used on one thread; runs may overlap.
+/// Reads the newest records of a key range. When a page fails, the pages before it are kept and the
+/// next run resumes after them: if every failure restarted the read, a large partition might never
+/// be read completely over a link on which pages fail occasionally. Used on one thread; runs may
+/// overlap.
 class NewestRead {
  public:
-  /// Reads on. The result is whole once its status is `kOk`: it then holds all records below its
-  /// `end`, which is that of the first page, read maybe some runs ago.
+  /// Continues the read. With status `kOk` the result is complete: it holds all records below its
+  /// `end`, which is the end that the first page reported, possibly several runs earlier.
   /// @param log outlives the call.
-  /// @param range of the same records each time; it may have become shorter at its front.
+  /// @param range covers the same records on each run; its start may have advanced.
+  /// @param page_timeout timeout of each page.
   boost::asio::awaitable<ReadResult> run(RecordLog& log, PartitionName partition, KeyRange range,
-                                         Duration patience);
-  /// Whether pages of an earlier run are kept.
+                                         Duration page_timeout);
+  /// Returns whether pages of an earlier run are kept.
   [[nodiscard]] bool begun() const { return !pages_.resume_after.empty(); }
 
  private:
--- a/src/store/partition_replica.cc
+++ b/src/store/partition_replica.cc
@@ -15,9 +15,9 @@
 
 namespace asio = boost::asio;
 
-/// Longest time for a page of newest records where only these are wanted: on a connection that has
-/// fallen silent it passes in vain.
-constexpr Duration kMaxNewestPatience = std::chrono::seconds(2);
+/// Maximum page timeout of a replica of scope `kNewest`. On a connection that no longer responds,
+/// the whole timeout passes before the read is retried.
+constexpr Duration kMaxNewestPageTimeout = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -45,25 +45,25 @@
   apply_new(stored);
 }
 
-void PartitionReplica::adapt_reads(const ReadResult& result, Duration took) {
+void PartitionReplica::adapt_read_limits(const ReadResult& result, Duration duration) {
   if (result.status == LogStatus::kUnknown) bounds_.ask_for_less();
   if (result.status != LogStatus::kOk) return;
-  const bool whole = result.records.empty() || result.records.back().offset + 1 >= result.end;
-  if (whole) {
+  const bool complete = result.records.empty() || result.records.back().offset + 1 >= result.end;
+  if (complete) {
     bounds_.ask_for_more();
     return;
   }
   std::uint64_t bytes = 0;
   for (const auto& record : result.records) bytes += record.key.size() + record.value.size();
-  bounds_.answered_in_part(bytes, took);
+  bounds_.on_partial_read(bytes, duration);
 }
 
 asio::awaitable<LogStatus> PartitionReplica::load_newest() {
   const KeyRange all_keys;
-  const Duration patience = scope_ == ReplicaScope::kNewest
-                                ? std::min(bounds_.patience, kMaxNewestPatience)
-                                : bounds_.patience;
-  ReadResult result = co_await newest_.run(log_, partition_, all_keys, patience);
+  const Duration page_timeout = scope_ == ReplicaScope::kNewest
+                                    ? std::min(bounds_.patience, kMaxNewestPageTimeout)
+                                    : bounds_.patience;
+  ReadResult result = co_await newest_.run(log_, partition_, all_keys, page_timeout);
   if (result.status == LogStatus::kUnknown) bounds_.ask_for_less();
   if (result.status != LogStatus::kOk) co_return result.status;
   bounds_.ask_for_more();
@@ -85,11 +85,11 @@
   co_return LogStatus::kOk;
 }
 
-asio::awaitable<LogStatus> PartitionReplica::read_on(Duration wait, bool& at_end) {
+asio::awaitable<LogStatus> PartitionReplica::read_next(Duration wait, bool& at_end) {
   const TimePoint sent = monotonic_now();
   const RecordOffset from = next_offset_;
   const ReadResult result = co_await log_.read(partition_, from, bounds_.bytes, wait);
-  adapt_reads(result, monotonic_now() - sent);
+  adapt_read_limits(result, monotonic_now() - sent);
   if (result.status != LogStatus::kOk) co_return result.status;
   health_.end = std::max(health_.end, result.end);
   apply_new(result.records);
@@ -103,7 +103,7 @@
   const TimePoint sent = monotonic_now();
   at_end = false;
   LogStatus status = LogStatus::kTruncated;
-  if (!skip_to_newest_) status = co_await read_on(wait, at_end);
+  if (!skip_to_newest_) status = co_await read_next(wait, at_end);
   if (status == LogStatus::kTruncated) {
     status = co_await load_newest();
     if (status == LogStatus::kOk) skip_to_newest_ = false;
@@ -113,7 +113,7 @@
     health_.last_success = std::max(health_.last_success, sent);
     if (at_end) health_.confirmed = std::max(health_.confirmed, sent);
     const bool was_loaded = std::exchange(health_.loaded, health_.loaded || at_end);
-    if (at_end) sink_.caught_up();
+    if (at_end) sink_.on_caught_up();
     if (health_.loaded && !was_loaded && loaded_listener_) loaded_listener_();
   }
   co_return status;
@@ -138,13 +138,13 @@
   co_return co_await read_once(wait, at_end);
 }
 
-asio::awaitable<void> PartitionReplica::follow(std::function<bool()> running, Duration pace,
+asio::awaitable<void> PartitionReplica::follow(std::function<bool()> running, Duration read_pause,
                                                Duration wait) {
   const auto self = shared_from_this();
   Timer timer(co_await asio::this_coro::executor);
   Backoff backoff;
   while (running()) {
-    // After a failure the next read does not wait, so that the first answer shows at once.
+    // After a failure the next read does not long-poll, so that recovery is detected at once.
     const bool steady = health_.loaded && health_.last == LogStatus::kOk;
     const Duration read_wait = steady ? wait : Duration{0};
     bool at_end = false;
@@ -153,11 +153,12 @@
     const LogStatus status = co_await read_once(read_wait, at_end);
     if (status == LogStatus::kOk) {
       backoff.reset();
-      const bool pause = at_end && next_offset_ > before && pace.count() > 0;
+      const bool pause = at_end && next_offset_ > before && read_pause.count() > 0;
       if (!pause) continue;
     }
-    const Duration took = monotonic_now() - sent;
-    timer.expires_after(status == LogStatus::kOk ? pace : backoff.next_after(took));
+    const Duration duration = monotonic_now() - sent;
+    timer.expires_after(status == LogStatus::kOk ? read_pause
+                                                 : backoff.next_after_attempt(duration));
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
   }
 }
--- a/src/store/partition_replica.h
+++ b/src/store/partition_replica.h
@@ -1,5 +1,5 @@
 /// @file
-/// A local copy of one partition of the log, kept by whoever applies its records.
+/// Replication of one log partition into a local state.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -15,91 +15,93 @@
 
 namespace stoathold {
 
-/// Applies a partition's records to a state. Called in the order of offsets, each record once.
+/// Applies a partition's records to a state. Records arrive in offset order, each once.
 class RecordSink {
  public:
   virtual ~RecordSink() = default;
   /// Applies one record.
   virtual void apply(const StoredRecord& record) = 0;
-  /// The history up to `newest` is lost; these are the newest records of all keys, ascending by
-  /// offset. Keys that are missing were deleted. Records applied before may be among them.
+  /// Replaces the state when the history before `newest` is not available. `newest` holds the
+  /// newest record of each key in ascending offset order; absent keys were deleted. It may include
+  /// records that were already applied.
   virtual void reset(const std::vector<StoredRecord>& newest) = 0;
-  /// All records that the partition held when a read was answered are applied. Until the first such
-  /// call the state is one of the past: some of its records may have been replaced or deleted
-  /// before the reading began.
-  virtual void caught_up() {}
+  /// Called when all records that the partition held at the time of a read are applied. Before the
+  /// first call the state is stale: some of its records may have been replaced or deleted before
+  /// the replica started reading.
+  virtual void on_caught_up() {}
 };
 
-/// Which records a sink is to get.
+/// Selects the records that a sink receives.
 enum class ReplicaScope : std::uint8_t {
-  kHistory,  ///< Each record, in order, as far as the log has its history.
-  kNewest,   ///< The newest record of each key; those that were replaced may be left out.
+  kHistory,  ///< Every record that the log retains, in order.
+  kNewest,   ///< The newest record of each key; superseded records may be skipped.
 };
 
-/// How the log has answered lately, for readiness, logs and metrics.
+/// Status of a replica's reads, for readiness, logs and metrics.
 struct ReplicaHealth {
-  bool loaded = false;  ///< The partition was read to its end at least once.
+  bool loaded = false;  ///< Whether the partition was read to its end at least once.
   LogStatus last = LogStatus::kOk;
-  TimePoint last_success{};  ///< When the last successful read was sent.
-  TimePoint confirmed{};     ///< When the last read that left nothing unread was sent.
+  TimePoint last_success{};  ///< Send time of the latest successful read.
+  TimePoint confirmed{};     ///< Send time of the latest read that reached the end.
   RecordOffset end = 0;      ///< Last known end of the partition.
 };
 
-/// Follows one partition. Reads may overlap: each applies only what is new.
+/// Reads one partition and applies its records to a sink. Reads may overlap: each applies only
+/// records that were not applied yet.
 ///
-/// Lives in a shared pointer, since a read in flight keeps it alive. Used on one thread.
+/// Must be owned by a `std::shared_ptr`, since reads in flight keep it alive. Used on one thread.
 class PartitionReplica : public std::enable_shared_from_this<PartitionReplica> {
  public:
   /// @param log and `sink` outlive the replica and all reads in flight.
   PartitionReplica(RecordLog& log, PartitionName partition, RecordSink& sink,
                    ReplicaScope scope = ReplicaScope::kHistory);
 
-  /// Reads until the partition's end: afterwards the state holds every record whose append was
+  /// Reads to the partition's end: on success the state includes every record whose append was
   /// acknowledged before this call.
   boost::asio::awaitable<LogStatus> catch_up();
-  /// Reads once, waiting up to `wait` for a record behind those applied.
+  /// Reads once, waiting up to `wait` for a record that is not applied yet.
   boost::asio::awaitable<LogStatus> wait_for_records(Duration wait);
-  /// Applies records that this process appended, if nothing unread lies before them.
+  /// Applies records that this process appended, unless unread records precede them.
   void apply_appended(RecordOffset offset, const std::vector<KeyedRecord>& records);
-  /// Follows the partition for as long as `running` holds.
-  /// @param pace time between two reads that bring records: each record of a busy partition would
-  ///        else cost a call of every node that follows it.
-  /// @param wait how long a read waits for a record. It bounds how long a connection that went
-  /// silent
-  ///        delays news: the read is given up shortly after it.
-  boost::asio::awaitable<void> follow(std::function<bool()> running, Duration pace = Duration{0},
+  /// Reads continuously while `running` returns true.
+  /// @param read_pause pause after a read that returned records. Without it, each record of
+  ///        a busy partition would cost one call from every node that follows it.
+  /// @param wait how long a read waits for a record. It also bounds the delay that an unresponsive
+  ///        connection causes, since the read times out shortly after it.
+  boost::asio::awaitable<void> follow(std::function<bool()> running,
+                                      Duration read_pause = Duration{0},
                                       Duration wait = std::chrono::milliseconds(2000));
 
-  /// Called when the partition was read to its end for the first time.
+  /// Sets a listener that is called when the partition is first read to its end.
   void set_loaded_listener(std::function<void()> listener) {
     loaded_listener_ = std::move(listener);
   }
 
   [[nodiscard]] const PartitionName& name() const { return partition_; }
-  /// Offset of the first record not yet applied; the end of the partition as far as it is known.
+  /// Returns the offset of the first record that is not applied yet.
   [[nodiscard]] RecordOffset next_offset() const { return next_offset_; }
   [[nodiscard]] const ReplicaHealth& health() const { return health_; }
 
  private:
   boost::asio::awaitable<LogStatus> read_once(Duration wait, bool& at_end);
   boost::asio::awaitable<LogStatus> read_to_end();
-  /// Reads from the first record not applied on.
-  boost::asio::awaitable<LogStatus> read_on(Duration wait, bool& at_end);
+  /// Reads from the first record that is not applied yet.
+  boost::asio::awaitable<LogStatus> read_next(Duration wait, bool& at_end);
   boost::asio::awaitable<LogStatus> load_newest();
-  void adapt_reads(const ReadResult& result, Duration took);
+  void adapt_read_limits(const ReadResult& result, Duration duration);
   void apply_new(const std::vector<StoredRecord>& records);
 
   RecordLog& log_;
   PartitionName partition_;
   RecordSink& sink_;
   ReplicaScope scope_;
-  /// The next read is of the newest records, not of those behind `next_offset_`.
+  /// Whether the next read fetches the newest records instead of those from `next_offset_` on.
   bool skip_to_newest_;
   RecordOffset next_offset_ = 0;
   ReplicaHealth health_;
   NewestRead newest_;
   SharedRead catch_ups_;
-  ReadBounds bounds_ = ReadBounds::of_list();  ///< Of the next read.
+  ReadBounds bounds_ = ReadBounds::for_full_read();  ///< For the next read.
   std::function<void()> loaded_listener_;
 };
 
--- a/src/store/read_bounds.h
+++ b/src/store/read_bounds.h
@@ -1,5 +1,5 @@
 /// @file
-/// What one read of the log may cost.
+/// Adaptive size and timeout of reads from the log.
 #pragma once
 
 #include <algorithm>
@@ -10,59 +10,60 @@
 
 namespace stoathold {
 
-/// Bounds of the next read. One that was not answered in time is begun again with more time and for
-/// less: what is given up was carried in vain and made other reads late.
+/// Limits of the next read. A read that timed out is retried with a longer timeout and fewer bytes:
+/// the response to an abandoned read still uses bandwidth and delays other reads.
 struct ReadBounds {
-  /// So that a read that took no time can be divided by it.
-  static constexpr double kShortestSeconds = 0.0001;
-  /// The log answers no more than 1 MB at a time.
+  /// Lower bound of a read's duration, which avoids a division by zero.
+  static constexpr double kMinSeconds = 0.0001;
+  /// The log returns at max_next_bytes 1 MB per read.
   static constexpr std::uint64_t kMaxBytes = 1024UL * 1024;
-  /// Four items' requests of a usual 15 kB.
+  /// Holds the requests of four items of a typical 15 kB.
   static constexpr std::uint64_t kMinBytes = 64UL * 1024;
-  /// Of the first read of a partition of which all is to be read. 300 nodes that start together ask
-  /// a store of 80 MB a second for 20 MB: 0.24 s.
-  static constexpr std::uint64_t kFirstBytes = 64UL * 1024;
-  /// A tenth of what 420 nodes may have under way at such a store in a second.
-  static constexpr std::uint64_t kLeastOfList = 16UL * 1024;
-  /// How long a read should take that is one of many: a third of the time after which it is given
-  /// up, so that it still comes where three times as many nodes read at the same time.
-  static constexpr Duration kReadTime = std::chrono::milliseconds(300);
-  /// From one read to the next: the first ones find a store of which others are about to ask as
-  /// much.
-  static constexpr std::uint64_t kMostGrowth = 4;
-  /// 1 MB takes 0.4 s on 30 Mbit/s by itself, and as long again to decode with 0.12 of a core; ten
-  /// such reads may be on the link.
-  static constexpr Duration kMaxPatience = std::chrono::seconds(8);
+  /// Size of the first read of a partition that is read completely. When 300 nodes start together,
+  /// they request 20 MB, which takes a store that serves 80 MB/s 0.24 s.
+  static constexpr std::uint64_t kInitialBytes = 64UL * 1024;
+  /// A tenth of the bytes that such a store can send to each of 420 nodes in a second.
+  static constexpr std::uint64_t kMinFullReadBytes = 16UL * 1024;
+  /// Target duration of a read among many concurrent ones: a third of its timeout, so that it still
+  /// completes when three times as many nodes read at the same time.
+  static constexpr Duration kTargetReadTime = std::chrono::milliseconds(300);
+  /// Maximum growth from one read to the next: the first reads are fast because the other nodes
+  /// have not started theirs yet.
+  static constexpr std::uint64_t kMaxGrowthFactor = 4;
+  /// 1 MB alone takes 0.4 s to transfer at 30 Mbit/s and another 0.4 s to decode on 0.12 of a core,
+  /// and ten such reads may share the link.
+  static constexpr Duration kMaxPageTimeout = std::chrono::seconds(8);
 
-  Duration patience = kPagePatience;  ///< For each page of newest records.
-  std::uint64_t bytes = kMaxBytes;    ///< Asked for by a read from an offset on.
-  std::uint64_t least = kMinBytes;    ///< Never asked for less.
+  Duration patience = kPagePatience;    ///< Timeout of each page of newest records.
+  std::uint64_t bytes = kMaxBytes;      ///< Size limit of a read from an offset.
+  std::uint64_t min_bytes = kMinBytes;  ///< Lower bound of `bytes`.
 
-  /// Bounds of a partition that is to be read whole, maybe by many nodes at the same time.
-  static ReadBounds of_list() {
+  /// Returns the limits for reading a whole partition, possibly from many nodes at the same time.
+  static ReadBounds for_full_read() {
     ReadBounds bounds;
-    bounds.bytes = kFirstBytes;
-    bounds.least = kLeastOfList;
+    bounds.bytes = kInitialBytes;
+    bounds.min_bytes = kMinFullReadBytes;
     return bounds;
   }
 
-  /// Twice the time and half of the bytes.
+  /// Doubles the page timeout and halves the size.
   void ask_for_less() {
-    patience = std::min(patience * 2, kMaxPatience);
-    bytes = std::max(bytes / 2, least);
+    patience = std::min(patience * 2, kMaxPageTimeout);
+    bytes = std::max(bytes / 2, min_bytes);
   }
-  /// A read brought all that it asked for, and there is more: as much as came at this speed within
-  /// `kReadTime`. Whoever asks for what cannot come in time asks in vain, and what is given up is
-  /// carried all the same.
-  void answered_in_part(std::uint64_t answered, Duration took) {
+  /// Updates the limits after a read that returned data but did not reach the end: the next read
+  /// requests as many bytes as the observed throughput delivers within `kTargetReadTime`.
+  /// Requesting more would time out, and the response would still use bandwidth.
+  void on_partial_read(std::uint64_t bytes_read, Duration duration) {
     patience = kPagePatience;
-    const double seconds = std::max(to_seconds(took), kShortestSeconds);
-    const double wanted = static_cast<double>(answered) * to_seconds(kReadTime) / seconds;
-    const std::uint64_t most = std::min(bytes * kMostGrowth, kMaxBytes);
-    bytes = std::clamp(static_cast<std::uint64_t>(std::min(wanted, 1.0 * kMaxBytes)),
-                       std::min(least, most), most);
+    const double seconds = std::max(to_seconds(duration), kMinSeconds);
+    const double target_bytes =
+        static_cast<double>(bytes_read) * to_seconds(kTargetReadTime) / seconds;
+    const std::uint64_t max_next_bytes = std::min(bytes * kMaxGrowthFactor, kMaxBytes);
+    bytes = std::clamp(static_cast<std::uint64_t>(std::min(target_bytes, 1.0 * kMaxBytes)),
+                       std::min(min_bytes, max_next_bytes), max_next_bytes);
   }
-  /// The usual time and twice the bytes.
+  /// Resets the page timeout and doubles the size.
   void ask_for_more() {
     patience = kPagePatience;
     bytes = std::min(bytes * 2, kMaxBytes);
--- a/src/store/read_turns.cc
+++ b/src/store/read_turns.cc
@@ -10,25 +10,25 @@
 
 asio::awaitable<ReadTurns::Turn> ReadTurns::take() {
   const std::shared_ptr<State> state = state_;
-  if (state->free > 0) {
-    --state->free;
+  if (state->available > 0) {
+    --state->available;
     co_return Turn(state);
   }
   const auto timer =
       std::make_shared<Timer>(co_await asio::this_coro::executor, Timer::time_point::max());
-  state->waiting.push_back(timer);
+  state->waiters.push_back(timer);
   co_await timer->async_wait(asio::as_tuple(asio::use_awaitable));
   co_return Turn(state);
 }
 
 ReadTurns::Turn::~Turn() {
   if (!state_) return;
-  if (state_->waiting.empty()) {
-    ++state_->free;
+  if (state_->waiters.empty()) {
+    ++state_->available;
     return;
   }
-  const std::shared_ptr<Timer> next = state_->waiting.front();
-  state_->waiting.pop_front();
+  const std::shared_ptr<Timer> next = state_->waiters.front();
+  state_->waiters.pop_front();
   next->cancel();
 }
 
--- a/src/store/read_turns.h
+++ b/src/store/read_turns.h
@@ -1,5 +1,5 @@
 /// @file
-/// How many large reads a node has under way.
+/// Limit on the number of concurrent large reads of a node.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -11,21 +11,23 @@
 
 namespace stoathold {
 
-/// Lets a few coroutines at a time go on, the others in the order in which they came. Large reads
-/// that share a narrow link use up one another's time: a few at a time, they all come through. Used
-/// on one thread; turns may be given back when it is gone, at the end of a process.
+/// FIFO semaphore for coroutines. Large reads that share a slow link make one another time out;
+/// with only a few at a time, all of them complete. Used on one thread. Permits may be released
+/// after the semaphore is destroyed, as happens at process exit.
 class ReadTurns {
  public:
-  explicit ReadTurns(int most) : state_(std::make_shared<State>()) { state_->free = most; }
+  explicit ReadTurns(int max_concurrent) : state_(std::make_shared<State>()) {
+    state_->available = max_concurrent;
+  }
 
  private:
   struct State {
-    int free = 0;
-    std::list<std::shared_ptr<Timer>> waiting;  ///< Each is cancelled when its turn has come.
+    int available = 0;
+    std::list<std::shared_ptr<Timer>> waiters;  ///< Cancelled when it gets a permit.
   };
 
  public:
-  /// One turn; given back at its end.
+  /// Holds one permit and releases it on destruction.
   class Turn {
    public:
     explicit Turn(std::shared_ptr<State> state) : state_(std::move(state)) {}
@@ -36,10 +38,10 @@
     ~Turn();
 
    private:
-    std::shared_ptr<State> state_;  ///< Null once it was moved from.
+    std::shared_ptr<State> state_;  ///< Null after a move.
   };
 
-  /// Waits for a turn.
+  /// Waits for a permit. Waiters are served in FIFO order.
   boost::asio::awaitable<Turn> take();
 
  private:
--- a/src/store/record_log.h
+++ b/src/store/record_log.h
@@ -1,8 +1,8 @@
 /// @file
 /// Interface to the platform's durable log: partitions of keyed records with offsets.
 ///
-/// Everything that must outlast a process is a record here. Implementations only translate: they
-/// neither retry nor wait after a failure; callers decide.
+/// All state that must outlive a process is stored as records in this log. Implementations only map
+/// calls to the store; retries and backoff are the callers' responsibility.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,7 +15,7 @@
 
 namespace stoathold {
 
-/// Position of a record in its partition; the first record has 0 and there are no gaps.
+/// Position of a record in its partition. Offsets start at 0 and have no gaps.
 using RecordOffset = std::uint64_t;
 
 /// One partition of a topic.
@@ -32,116 +32,116 @@
   std::string value;
 };
 
-/// A record as it lies in the log. An empty value says that the key was deleted.
+/// A record stored in the log. An empty value means that the key was deleted.
 struct StoredRecord {
   RecordOffset offset = 0;
   std::string key;
   std::string value;
 };
 
-/// How a call to the log ended.
+/// Outcome of a call to the log.
 enum class LogStatus : std::uint8_t {
   kOk,
-  kConflict,   ///< The partition does not end where the caller expected; nothing was done.
-  kTruncated,  ///< The offsets asked for are no longer kept.
-  kNotDone,    ///< Refused or not sent; nothing was done, and it may be tried again later.
-  kRejected,   ///< The call is wrong and would fail again.
-  kUnknown,    ///< No answer: it may have been done, or may be done later.
+  kConflict,   ///< The partition does not end at the expected offset; no effect.
+  kTruncated,  ///< The requested offsets are no longer retained.
+  kNotDone,    ///< Refused or not sent; no effect, and a retry may succeed.
+  kRejected,   ///< Invalid call; a retry would fail again.
+  kUnknown,    ///< No response: it may have taken effect or may do so later.
 };
 
-/// Returns the status' name for logs.
+/// Returns the name of a status for logs.
 std::string_view to_string(LogStatus status);
 
-/// Records read in the order of their offsets.
+/// Result of a read; records from `RecordLog::read` are in offset order.
 struct ReadResult {
   LogStatus status = LogStatus::kUnknown;
   std::vector<StoredRecord> records;
-  RecordOffset end = 0;  ///< Offset that the next appended record gets.
-  /// Of a read of newest records that failed behind its first pages: the key behind which it may go
-  /// on. `records` and `end` hold what these pages had.
+  RecordOffset end = 0;  ///< Offset of the next record to be appended.
+  /// Set if `read_newest` failed after its first page: the key after which it can resume. `records`
+  /// and `end` then hold the content of the pages before the failure.
   std::string resume_after;
 };
 
-/// Where records were appended.
+/// Result of an append.
 struct AppendResult {
   LogStatus status = LogStatus::kUnknown;
-  RecordOffset offset = 0;  ///< Of the first record.
-  RecordOffset end = 0;     ///< Of the partition; also told with `kConflict`.
+  RecordOffset offset = 0;  ///< Offset of the first appended record.
+  RecordOffset end = 0;     ///< End of the partition; also set with `kConflict`.
 };
 
-/// Where to start or stop reading the newest records of the keys, in the order of the keys.
+/// Range of keys for a read of newest records, in key order.
 struct KeyRange {
-  std::string after;    ///< Only keys behind this one; empty for all.
-  std::string through;  ///< No keys behind this one; empty for all.
+  std::string after;    ///< Exclusive lower bound; empty: unbounded.
+  std::string through;  ///< Inclusive upper bound; empty: unbounded.
 };
 
-/// What a member of a group was given. Slots are numbered from 0 over all of the group's slots.
+/// Slots assigned to a member of a group, numbered from 0 across the group.
 struct GroupAssignment {
   LogStatus status = LogStatus::kUnknown;
   std::uint64_t generation = 0;
   std::vector<std::uint32_t> slots;
 };
 
-/// What a member says when it joins a group or stays in it.
+/// Request of a member that joins a group or renews its membership.
 struct GroupMember {
   std::string group;
   std::string name;
   Duration time_to_live{0};
-  std::uint64_t generation = 0;  ///< The last one heard; 0 at first.
+  std::uint64_t generation = 0;  ///< Last generation received; 0 on the first call.
 };
 
 /// The members of a group.
 struct MemberList {
   LogStatus status = LogStatus::kUnknown;
-  std::vector<std::string> names;  ///< Each once, in order.
+  std::vector<std::string> names;  ///< Unique, sorted.
 };
 
-/// Sizes that callers must respect.
+/// Limits of the log that callers must respect.
 struct LogLimits {
-  std::uint64_t record_bytes = 0;    ///< Most bytes of one record.
-  std::uint64_t call_bytes = 0;      ///< Most bytes of one append.
-  std::uint32_t partitions = 1;      ///< Partitions of each topic.
-  std::uint32_t group_slots = 1;     ///< Slots that a group deals out.
-  std::uint32_t job_topics = 1;      ///< Topics over which each kind of a job's records is spread.
-  Duration minimum_time_to_live{0};  ///< Shortest time to live of a group's member.
+  std::uint64_t record_bytes = 0;    ///< Maximum size of a record.
+  std::uint64_t call_bytes = 0;      ///< Maximum size of an append.
+  std::uint32_t partitions = 1;      ///< Number of partitions per topic.
+  std::uint32_t group_slots = 1;     ///< Number of slots that a group assigns.
+  std::uint32_t job_topics = 1;      ///< Topics that each kind of job record is sharded across.
+  Duration minimum_time_to_live{0};  ///< Minimum time to live of a group member.
 };
 
-/// Bytes of a record that are not the value, at most: its length, the key's length and the key.
+/// Upper bound of a record's framing overhead: record length, key length and key.
 inline constexpr std::uint64_t kRecordFramingBytes = 300;
 
-/// How long a page of the newest records may take where somebody waits for the answer.
+/// Timeout for a page of newest records when a caller is waiting for the response.
 inline constexpr Duration kPagePatience = std::chrono::seconds(1);
 
-/// The durable log. Used on one thread; calls may overlap.
+/// Interface to the durable log. Used on one thread; calls may overlap.
 class RecordLog {
  public:
   virtual ~RecordLog() = default;
 
   [[nodiscard]] virtual const LogLimits& limits() const = 0;
 
-  /// Reads records from `from` on; waits up to `wait` for the first one.
-  /// @param max_bytes most bytes to answer; at least one record is answered if one exists.
+  /// Reads records from offset `from` on, waiting up to `wait` for the first one.
+  /// @param max_bytes maximum size of the response; it holds at least one record if one exists.
   virtual boost::asio::awaitable<ReadResult> read(PartitionName partition, RecordOffset from,
                                                   std::uint64_t max_bytes, Duration wait) = 0;
 
-  /// Appends all records or none.
-  /// @param expected_end if given, the append is done only while the partition ends there.
+  /// Appends all records atomically.
+  /// @param expected_end if set, the append fails with `kConflict` unless the partition ends there.
   virtual boost::asio::awaitable<AppendResult> append(PartitionName partition,
                                                       std::vector<KeyedRecord> records,
                                                       std::optional<RecordOffset> expected_end) = 0;
 
-  /// Reads the newest record of each key in a range, in no promised order. Records appended while
-  /// this runs may be missing; those below `end` are all there. When a page fails, the pages before
-  /// it are kept in the result, and the caller may go on behind them.
-  /// @param patience how long each page may take; a page holds up to 1 MB.
+  /// Reads the newest record of each key in a range, in unspecified order. Records appended during
+  /// the read may be missing; all those below `end` are included. When a page fails, the result
+  /// keeps the pages before it, and the caller can resume after them.
+  /// @param page_timeout timeout of each page; a page holds up to 1 MB.
   virtual boost::asio::awaitable<ReadResult> read_newest(PartitionName partition, KeyRange range,
-                                                         Duration patience) = 0;
+                                                         Duration page_timeout) = 0;
 
-  /// Joins a group or stays in it, and learns the slots held.
+  /// Joins a group or renews the membership, and returns the assigned slots.
   virtual boost::asio::awaitable<GroupAssignment> join(GroupMember member) = 0;
-  /// Lists the names of a group's members that hold slots.
+  /// Lists the members of a group that hold slots.
   virtual boost::asio::awaitable<MemberList> members(std::string group) = 0;
-  /// Leaves a group; its slots pass to others.
+  /// Leaves a group; its slots are reassigned to other members.
   virtual boost::asio::awaitable<LogStatus> leave(GroupMember member) = 0;
 };
 
--- a/src/store/shared_read.cc
+++ b/src/store/shared_read.cc
@@ -10,31 +10,31 @@
 
 namespace asio = boost::asio;
 
-asio::awaitable<LogStatus> SharedRead::run(Read read, TimePoint give_up) {
+asio::awaitable<LogStatus> SharedRead::run(Read read, TimePoint deadline) {
   const asio::any_io_executor executor = co_await asio::this_coro::executor;
-  const std::uint64_t wanted = begun_ + 1;
-  while (ended_ < wanted) {
-    if (begun_ == ended_) begin(executor, read);
-    if (ended_ >= wanted) break;
-    Timer timer(executor, Timer::time_point(give_up.time_since_epoch()));
-    waiting_.insert(&timer);
+  const std::uint64_t required = started_ + 1;
+  while (finished_ < required) {
+    if (started_ == finished_) start(executor, read);
+    if (finished_ >= required) break;
+    Timer timer(executor, Timer::time_point(deadline.time_since_epoch()));
+    waiters_.insert(&timer);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    waiting_.erase(&timer);
-    if (ended_ < wanted && monotonic_now() >= give_up) co_return LogStatus::kUnknown;
+    waiters_.erase(&timer);
+    if (finished_ < required && monotonic_now() >= deadline) co_return LogStatus::kUnknown;
   }
-  co_return last_;
+  co_return last_status_;
 }
 
-void SharedRead::begin(const asio::any_io_executor& executor, Read read) {
-  ++begun_;
+void SharedRead::start(const asio::any_io_executor& executor, Read read) {
+  ++started_;
   asio::co_spawn(executor, perform(std::move(read)), asio::detached);
 }
 
 asio::awaitable<void> SharedRead::perform(Read read) {
   const LogStatus status = co_await read();
-  last_ = status;
-  ++ended_;
-  for (Timer* timer : waiting_) timer->cancel();
+  last_status_ = status;
+  ++finished_;
+  for (Timer* timer : waiters_) timer->cancel();
 }
 
 }  // namespace stoathold
--- a/src/store/shared_read.h
+++ b/src/store/shared_read.h
@@ -1,5 +1,5 @@
 /// @file
-/// A read of the log that callers who overlap share.
+/// Coalescing of concurrent reads of the log.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,28 +13,29 @@
 
 namespace stoathold {
 
-/// Runs one read at a time. Whoever asks while one is under way shares the next with all who wait
-/// then: it begins after they have asked, so that it holds whatever was durable by then. Without
-/// it, as many reads of the same bytes would be on a narrow link as there are callers, and each be
-/// late for the others. A read goes on when those who wait for it have given up, so that whoever
-/// asks next finds what it brought. Used on one thread; outlives the calls in flight.
+/// Runs at most one read at a time. Callers that arrive during a read share the next one, which
+/// starts after all of them have called and therefore returns everything that was durable by then.
+/// Without coalescing, every caller would transfer the same bytes over a slow link, and the reads
+/// would delay one another. A read continues after its callers have timed out, so that later
+/// callers benefit from its result. Used on one thread; outlives the calls in flight.
 class SharedRead {
  public:
   using Read = std::function<boost::asio::awaitable<LogStatus>()>;
 
-  /// Returns how a read that began after this call ended, or `kUnknown` if it takes longer.
-  /// @param read what to do if a read is to begin; the same for all callers. It is kept until it
-  ///        has ended, and has to keep this object.
-  boost::asio::awaitable<LogStatus> run(Read read, TimePoint give_up);
+  /// Returns the status of a read that started after this call, or `kUnknown` if the deadline
+  /// passes first.
+  /// @param read performs the read; equivalent for all callers. It is kept until the read has ended
+  ///        and must keep this object alive.
+  boost::asio::awaitable<LogStatus> run(Read read, TimePoint deadline);
 
  private:
-  void begin(const boost::asio::any_io_executor& executor, Read read);
+  void start(const boost::asio::any_io_executor& executor, Read read);
   boost::asio::awaitable<void> perform(Read read);
 
-  std::set<Timer*> waiting_;  ///< Of the callers; cancelled when a read ends.
-  std::uint64_t begun_ = 0;
-  std::uint64_t ended_ = 0;
-  LogStatus last_ = LogStatus::kUnknown;
+  std::set<Timer*> waiters_;  ///< Timers of waiting callers; cancelled when a read ends.
+  std::uint64_t started_ = 0;
+  std::uint64_t finished_ = 0;
+  LogStatus last_status_ = LogStatus::kUnknown;
 };
 
 }  // namespace stoathold
--- a/src/store/store_traffic.cc
+++ b/src/store/store_traffic.cc
@@ -12,7 +12,8 @@
 
 namespace asio = boost::asio;
 
-/// Between two lines: that of the lines on open items, so that they can be put side by side.
+/// Interval between log lines; equals that of the lines on open items, so that both can be
+/// compared.
 constexpr Duration kLineInterval = std::chrono::seconds(5);
 
 TrafficCount difference(const TrafficCount& now, const TrafficCount& before) {
@@ -21,12 +22,13 @@
           now.refused - before.refused};
 }
 
-/// Topics that differ by the number at their end hold one kind of records and count together.
+/// Returns the topic without its numeric suffix: sharded topics that differ only by this suffix
+/// hold one kind of record and are counted together.
 std::string topic_family(const std::string& topic) {
-  const std::size_t last_other = topic.find_last_not_of("0123456789");
-  const bool numbered =
-      last_other != std::string::npos && last_other + 1 < topic.size() && topic[last_other] == '-';
-  return numbered ? topic.substr(0, last_other) : topic;
+  const std::size_t last_non_digit = topic.find_last_not_of("0123456789");
+  const bool numbered = last_non_digit != std::string::npos && last_non_digit + 1 < topic.size() &&
+                        topic[last_non_digit] == '-';
+  return numbered ? topic.substr(0, last_non_digit) : topic;
 }
 
 }  // namespace
@@ -40,13 +42,13 @@
   count.bytes_answered += call.bytes_answered;
 }
 
-StoreTraffic::Counts StoreTraffic::take_changes() {
+StoreTraffic::Counts StoreTraffic::take_delta() {
   Counts changes;
   for (const auto& [kind, count] : counts_) {
-    TrafficCount& told = told_[kind];
-    if (count == told) continue;
-    changes[kind] = difference(count, told);
-    told = count;
+    TrafficCount& reported = reported_[kind];
+    if (count == reported) continue;
+    changes[kind] = difference(count, reported);
+    reported = count;
   }
   return changes;
 }
@@ -67,7 +69,7 @@
   while (true) {
     timer.expires_after(kLineInterval);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    const StoreTraffic::Counts changes = traffic.take_changes();
+    const StoreTraffic::Counts changes = traffic.take_delta();
     if (changes.empty()) continue;
     TrafficCount total;
     for (const auto& [kind, count] : changes) {
--- a/src/store/store_traffic.h
+++ b/src/store/store_traffic.h
@@ -1,5 +1,5 @@
 /// @file
-/// Calls to the durable log and the bytes that they cost, by call and topic.
+/// Counters of calls to the durable log and of the bytes transferred, by call and topic.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,50 +13,50 @@
 
 namespace stoathold {
 
-/// One call to the log that has ended.
+/// A completed call to the log.
 struct StoreCall {
-  std::string call;   ///< read, newest, append, join, members, leave.
-  std::string topic;  ///< Or the group.
+  std::string call;   ///< `read`, `newest`, `append`, `join`, `members` or `leave`.
+  std::string topic;  ///< Topic, or group for group calls.
   LogStatus status = LogStatus::kUnknown;
   Duration duration{0};
-  std::uint64_t bytes_sent = 0;      ///< Of the target and the body, without headers.
-  std::uint64_t bytes_answered = 0;  ///< Of a body that came whole; of one that did not, none.
-  bool timed_out = false;            ///< Given up without an answer when its time was over.
+  std::uint64_t bytes_sent = 0;      ///< Size of target and body, without headers.
+  std::uint64_t bytes_answered = 0;  ///< Size of the body; 0 if it was not received completely.
+  bool timed_out = false;            ///< Whether the call timed out without a response.
 };
 
-/// What calls of one kind to one topic came to.
+/// Totals of one kind of call to one topic.
 struct TrafficCount {
   std::uint64_t calls = 0;
   std::uint64_t time_outs = 0;
   std::uint64_t bytes_sent = 0;
   std::uint64_t bytes_answered = 0;
-  std::uint64_t refused = 0;  ///< Turned away by the store, or not sent at all.
+  std::uint64_t refused = 0;  ///< Refused by the store, or not sent.
 
   bool operator==(const TrafficCount&) const = default;
 };
 
-/// Counts since the start of the process. Used on one thread.
+/// Counters since process start. Used on one thread.
 class StoreTraffic {
  public:
-  /// By call and topic.
+  /// Totals keyed by call and topic.
   using Counts = std::map<std::pair<std::string, std::string>, TrafficCount>;
 
   void add(const StoreCall& call);
   [[nodiscard]] const Counts& counts() const { return counts_; }
-  /// Returns what was added since the last time that this was asked.
-  Counts take_changes();
+  /// Returns the increments since the previous call.
+  Counts take_delta();
 
  private:
   Counts counts_;
-  Counts told_;
+  Counts reported_;
 };
 
-/// Returns counts as one text, for each call and topic
-/// `call:topic=calls/bytes sent/bytes answered`, and `/time outs` if there were any.
+/// Formats counters as a comma-separated list of `call:topic=calls/bytes sent/bytes received`, with
+/// `/timeouts` appended to an entry if there were any.
 std::string traffic_text(const StoreTraffic::Counts& counts);
 
-/// Writes one line at a steady pace with what was added since the last; none if nothing was. Goes
-/// on for as long as its executor does; `traffic` outlives that.
+/// Logs the increments since the previous line at a fixed interval; skips the line if there are
+/// none. Runs as long as its executor, which `traffic` must outlive.
 boost::asio::awaitable<void> log_store_traffic(StoreTraffic& traffic);
 
 }  // namespace stoathold
--- a/tests/platform/foreign_entries_test.cc
+++ b/tests/platform/foreign_entries_test.cc
@@ -41,7 +41,7 @@
 
 class ForeignEntriesTest : public testing::Test {
  protected:
-  ForeignEntriesTest() { sink.caught_up(); }
+  ForeignEntriesTest() { sink.on_caught_up(); }
 
   bool names_a_runner(const std::string& text) {
     context.runners.replace_all({});
--- a/tests/platform/runner_restarts_test.cc
+++ b/tests/platform/runner_restarts_test.cc
@@ -23,7 +23,7 @@
 
 class RunnerRestartsTest : public GatewayFixture {
  protected:
-  RunnerRestartsTest() { sink.caught_up(); }
+  RunnerRestartsTest() { sink.on_caught_up(); }
 
   void list(const std::string& id, std::uint64_t born, const std::string& more = "",
             const std::string& address = "10.0.0.1:80") {
--- a/tests/platform/store_sinks_test.cc
+++ b/tests/platform/store_sinks_test.cc
@@ -29,10 +29,10 @@
   sink.apply({2, "config", "damaged"});
   sink.apply({3, "other", configuration(9)});
   EXPECT_FALSE(context.configuration);
-  sink.caught_up();
+  sink.on_caught_up();
   EXPECT_EQ(context.configuration->version, 5U);
   sink.apply({4, "config", configuration(3)});
-  sink.caught_up();
+  sink.on_caught_up();
   EXPECT_EQ(context.configuration->version, 5U);
   sink.reset({{7, "config", configuration(6)}});
   EXPECT_EQ(context.configuration->version, 6U);
@@ -42,7 +42,7 @@
 TEST_F(StoreSinksTest, AnotherNodesRecordIsTakenOnlyIfItIsNewer) {
   ConfigurationSink sink(context, nullptr);
   sink.apply({10, "config", configuration(5)});
-  sink.caught_up();
+  sink.on_caught_up();
   sink.apply_from_peer({9, "", configuration(4)});
   EXPECT_EQ(context.configuration->version, 5U);
   EXPECT_EQ(sink.in_force().offset, 10U);
@@ -64,14 +64,14 @@
   sink.apply({4, "r2", runner("draining")});
   sink.apply({5, "r3", ""});
   EXPECT_TRUE(context.runners.all().empty());
-  sink.caught_up();
+  sink.on_caught_up();
   ASSERT_EQ(context.runners.all().size(), 1U);
   EXPECT_FALSE(context.runners.all().at("r2")->available());
 }
 
 TEST_F(StoreSinksTest, RunnersComeDrainAndGo) {
   RunnerSink sink(context);
-  sink.caught_up();
+  sink.on_caught_up();
   sink.apply({0, "r1", runner("ready")});
   const auto held = context.runners.all().at("r1");
   EXPECT_TRUE(held->available());
--- a/tests/store/backoff_test.cc
+++ b/tests/store/backoff_test.cc
@@ -5,32 +5,32 @@
 namespace stoathold {
 namespace {
 
-constexpr Duration kFirst = std::chrono::milliseconds(100);
-constexpr Duration kLast = std::chrono::milliseconds(1000);
+constexpr Duration kInitialWait = std::chrono::milliseconds(100);
+constexpr Duration kMaxWait = std::chrono::milliseconds(1000);
 
-TEST(BackoffTest, AnAttemptThatWasRefusedAtOnceIsFollowedByTheWholeWait) {
+TEST(BackoffTest, KeepsFullWaitAfterImmediateFailure) {
   Backoff backoff;
-  Duration least = kFirst / 2;
+  Duration expected_min = kInitialWait / 2;
   for (int attempt = 0; attempt < 8; ++attempt) {
-    const Duration wait = backoff.next_after(std::chrono::milliseconds(1));
-    EXPECT_GE(wait, least - std::chrono::milliseconds(1)) << attempt;
-    least = std::min(least * 2, kLast / 2);
+    const Duration wait = backoff.next_after_attempt(std::chrono::milliseconds(1));
+    EXPECT_GE(wait, expected_min - std::chrono::milliseconds(1)) << attempt;
+    expected_min = std::min(expected_min * 2, kMaxWait / 2);
   }
 }
 
-TEST(BackoffTest, AnAttemptThatWaitedLongerThanTheWaitIsFollowedByAShortOne) {
+TEST(BackoffTest, KeepsMinimumWaitAfterLongAttempt) {
   Backoff backoff;
   for (int attempt = 0; attempt < 8; ++attempt) {
-    const Duration wait = backoff.next_after(std::chrono::seconds(1));
-    EXPECT_GE(wait, kFirst / 4) << attempt;
-    EXPECT_LE(wait, kFirst / 2) << attempt;
+    const Duration wait = backoff.next_after_attempt(std::chrono::seconds(1));
+    EXPECT_GE(wait, kInitialWait / 4) << attempt;
+    EXPECT_LE(wait, kInitialWait / 2) << attempt;
   }
 }
 
-TEST(BackoffTest, AnAttemptThatWaitedForAPartOfTheWaitIsFollowedByTheRest) {
+TEST(BackoffTest, SubtractsAttemptDurationFromWait) {
   Backoff backoff;
   for (int attempt = 0; attempt < 5; ++attempt) backoff.next();
-  const Duration wait = backoff.next_after(std::chrono::milliseconds(300));
+  const Duration wait = backoff.next_after_attempt(std::chrono::milliseconds(300));
   EXPECT_GE(wait, std::chrono::milliseconds(200));
   EXPECT_LE(wait, std::chrono::milliseconds(700));
 }
--- a/tests/store/compare_list_reads.cc
+++ b/tests/store/compare_list_reads.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Prints how long nodes that start together take to read the list of runners, by ways of reading.
+/// Prints how long nodes that start together take to read the runner list, for several variants of
+/// reading.
 
 #include <array>
 #include <cstdio>
@@ -10,25 +11,25 @@
 namespace stoathold {
 namespace {
 
-struct Way {
+struct ReadVariant {
   const char* name;
   ListReadPolicy policy;
-  double call_time;
+  double read_timeout;
 };
 
-void print_row(const Way& way, ListReadSetup setup) {
-  setup.call_time = way.call_time;
-  const ListReadResult result = ListReadFleet(setup, way.policy).play();
-  std::printf("| %d | %s | %.1f | %.1f | %.0f | %d |\n", setup.nodes, way.name, result.first,
-              result.last, result.carried_megabytes, result.calls);
+void print_row(const ReadVariant& variant, ListReadSetup setup) {
+  setup.read_timeout = variant.read_timeout;
+  const ListReadResult result = ListReadSimulation(setup, variant.policy).run();
+  std::printf("| %d | %s | %.1f | %.1f | %.0f | %d |\n", setup.nodes, variant.name, result.first,
+              result.last, result.transferred_megabytes, result.calls);
 }
 
 void print_table() {
   constexpr std::uint64_t kRunnerBytes = 230;
-  const std::array<Way, 3> ways{
-      Way{"1 MB within 1 s, half after a silence", whole_reads(), 1.0},
-      Way{"1 MB within 8 s", whole_reads(), 8.0},
-      Way{"64 kB first, then what came in 0.3 s", learned_reads(), 1.0},
+  const std::array<ReadVariant, 3> variants{
+      ReadVariant{"1 MB within 1 s, half after a silence", fixed_size_reads(), 1.0},
+      ReadVariant{"1 MB within 8 s", fixed_size_reads(), 8.0},
+      ReadVariant{"64 kB first, then what came in 0.3 s", adaptive_reads(), 1.0},
   };
   std::printf(
       "| nodes | way | first, s | last, s | MB carried | calls |\n|---|---|---|---|---|---|\n");
@@ -37,14 +38,14 @@
     ListReadSetup setup;
     setup.nodes = nodes;
     setup.list_bytes = runners * kRunnerBytes;
-    for (const Way& way : ways) print_row(way, setup);
+    for (const ReadVariant& variant : variants) print_row(variant, setup);
   }
   std::printf("\nWith 2 %% of the answers lost:\n\n");
   ListReadSetup setup;
   setup.nodes = 295;
   setup.list_bytes = 3000 * kRunnerBytes;
-  setup.lost_part = 0.02;
-  for (const Way& way : ways) print_row(way, setup);
+  setup.loss_probability = 0.02;
+  for (const ReadVariant& variant : variants) print_row(variant, setup);
 }
 
 }  // namespace
--- a/tests/store/list_read_fleet.h
+++ b/tests/store/list_read_fleet.h
@@ -1,9 +1,9 @@
 /// @file
-/// Nodes that all read one list from a store at the same time, without sockets.
+/// Simulation of nodes that all read one list from a store at the same time, without sockets.
 ///
-/// The store has so many bytes a second, which all answers under way share; what a node has given
-/// up is carried to its end all the same. Each node reads as `PartitionReplica` does: one read at a
-/// time, from where the last one ended, for as many bytes as its bounds say.
+/// Concurrent responses share the store's bandwidth, and the response to an abandoned read is still
+/// transferred completely. Each node reads as `PartitionReplica` does: one read at a time, starting
+/// where the previous one ended, for as many bytes as its limits allow.
 #pragma once
 
 #include <algorithm>
@@ -18,52 +18,52 @@
 
 namespace stoathold {
 
-/// What is played.
+/// Parameters of a simulation.
 struct ListReadSetup {
   int nodes = 0;
   std::uint64_t list_bytes = 0;
-  double store_bytes_per_second = 80e6;  ///< Of all reads, as the users' sheets say.
-  double link_bytes_per_second = 125e6;  ///< Of one node.
-  double start_spread = 0;               ///< Seconds over which the nodes start.
-  double lost_part = 0;                  ///< Of the answers: they never come.
-  double silent_until = 0;               ///< Before that the store answers nobody.
-  double zone_cut_until = 0;             ///< Before that every third node is answered nothing.
-  double call_time = 1.0;                ///< Seconds after which a read is given up.
+  double store_bytes_per_second = 80e6;  ///< For all reads; the store's specified bandwidth.
+  double link_bytes_per_second = 125e6;  ///< Bandwidth of one node's link.
+  double start_window = 0;               ///< Seconds over which the nodes' starts are spread.
+  double loss_probability = 0;           ///< Probability that a response is lost.
+  double store_outage_end = 0;           ///< Until then the store does not respond.
+  double zone_partition_end = 0;         ///< Until then every third node gets no response.
+  double read_timeout = 1.0;             ///< Seconds after which a read times out.
 };
 
-/// How it went.
+/// Result of a simulation.
 struct ListReadResult {
-  double first = 0;  ///< Seconds until a node has the whole list.
-  double last = 0;   ///< Until all have.
-  double carried_megabytes = 0;
+  double first = 0;  ///< Seconds until the first node has the whole list.
+  double last = 0;   ///< Seconds until all nodes have it.
+  double transferred_megabytes = 0;
   int calls = 0;
 };
 
-/// What a node asks for, as `PartitionReplica` keeps it.
+/// Strategy that determines the size of a node's reads.
 struct ListReadPolicy {
   std::function<ReadBounds()> first;
-  std::function<void(ReadBounds&, std::uint64_t bytes, Duration took, bool more)> answered;
+  std::function<void(ReadBounds&, std::uint64_t bytes, Duration duration, bool more)> on_response;
 };
 
-/// Plays one start. Nothing in it depends on the machine: the same setup gives the same result.
-class ListReadFleet {
+/// Simulates one simultaneous start. Deterministic: the same setup always gives the same result.
+class ListReadSimulation {
  public:
-  ListReadFleet(ListReadSetup setup, const ListReadPolicy& policy)
+  ListReadSimulation(ListReadSetup setup, const ListReadPolicy& policy)
       : setup_(setup), policy_(policy), nodes_(static_cast<std::size_t>(setup.nodes)) {
     for (auto& node : nodes_) {
       node.bounds = policy.first();
-      node.next_call = fraction() * setup.start_spread;
+      node.next_read_at = random_fraction() * setup.start_window;
     }
   }
 
-  ListReadResult play() {
-    constexpr double kLongest = 60;
-    while (now_ < kLongest && finished_ < setup_.nodes) {
-      for (std::size_t i = 0; i < nodes_.size(); ++i) begin(nodes_[i], i);
-      carry();
+  ListReadResult run() {
+    constexpr double kMaxSeconds = 60;
+    while (now_ < kMaxSeconds && finished_ < setup_.nodes) {
+      for (std::size_t i = 0; i < nodes_.size(); ++i) start_read(nodes_[i], i);
+      transfer_step();
       now_ += kStep;
     }
-    if (finished_ < setup_.nodes) result_.last = kLongest;
+    if (finished_ < setup_.nodes) result_.last = kMaxSeconds;
     return result_;
   }
 
@@ -72,100 +72,106 @@
 
   struct Node {
     ReadBounds bounds;
-    double next_call = 0;
-    std::uint64_t have = 0;
-    std::uint64_t asked = 0;
-    std::optional<double> left;  ///< Bytes still to come of the read under way.
-    double sent = 0;
-    bool heard = true;  ///< The read under way is answered.
-    double pause = 0.1;
+    double next_read_at = 0;
+    std::uint64_t received_bytes = 0;
+    std::uint64_t requested_bytes = 0;
+    std::optional<double> remaining_bytes;  ///< Outstanding bytes of the current read.
+    double sent_at = 0;
+    bool reachable = true;  ///< Whether the current read gets a response.
+    double next_backoff = 0.1;
   };
 
-  double fraction() { return static_cast<double>(random_.below(1000)) / 1000; }
-
-  void begin(Node& node, std::size_t index) {
-    if (node.left || node.have >= setup_.list_bytes || now_ < node.next_call) return;
-    node.asked = std::min(node.bounds.bytes, setup_.list_bytes - node.have);
-    node.left = static_cast<double>(node.asked);
-    node.sent = now_;
-    const bool cut = index % 3 == 0 && now_ < setup_.zone_cut_until;
-    node.heard = now_ >= setup_.silent_until && !cut && fraction() >= setup_.lost_part;
+  double random_fraction() { return static_cast<double>(random_.below(1000)) / 1000; }
+
+  void start_read(Node& node, std::size_t index) {
+    if (node.remaining_bytes || node.received_bytes >= setup_.list_bytes ||
+        now_ < node.next_read_at)
+      return;
+    node.requested_bytes = std::min(node.bounds.bytes, setup_.list_bytes - node.received_bytes);
+    node.remaining_bytes = static_cast<double>(node.requested_bytes);
+    node.sent_at = now_;
+    const bool partitioned = index % 3 == 0 && now_ < setup_.zone_partition_end;
+    node.reachable = now_ >= setup_.store_outage_end && !partitioned &&
+                     random_fraction() >= setup_.loss_probability;
     ++result_.calls;
   }
 
-  void carry() {
-    std::size_t under_way = given_up_.size();
-    for (const Node& node : nodes_) under_way += node.left && node.heard ? 1 : 0;
-    const double share =
-        under_way == 0 ? 0
-                       : std::min(setup_.store_bytes_per_second / static_cast<double>(under_way),
-                                  setup_.link_bytes_per_second) *
-                             kStep;
-    for (double& left : given_up_) left -= take(share, left);
-    std::erase_if(given_up_, [](double left) { return left <= 0; });
+  void transfer_step() {
+    std::size_t active_reads = abandoned_reads_.size();
+    for (const Node& node : nodes_) active_reads += node.remaining_bytes && node.reachable ? 1 : 0;
+    const double step_bytes =
+        active_reads == 0
+            ? 0
+            : std::min(setup_.store_bytes_per_second / static_cast<double>(active_reads),
+                       setup_.link_bytes_per_second) *
+                  kStep;
+    for (double& remaining_bytes : abandoned_reads_)
+      remaining_bytes -= consume(step_bytes, remaining_bytes);
+    std::erase_if(abandoned_reads_, [](double remaining_bytes) { return remaining_bytes <= 0; });
     for (Node& node : nodes_) {
-      if (!node.left) continue;
-      if (node.heard) *node.left -= take(share, *node.left);
-      if (*node.left <= 0) {
-        answered(node);
-      } else if (now_ - node.sent >= setup_.call_time) {
-        give_up(node);
+      if (!node.remaining_bytes) continue;
+      if (node.reachable) *node.remaining_bytes -= consume(step_bytes, *node.remaining_bytes);
+      if (*node.remaining_bytes <= 0) {
+        on_response(node);
+      } else if (now_ - node.sent_at >= setup_.read_timeout) {
+        abandon_read(node);
       }
     }
   }
 
-  double take(double share, double left) {
-    const double bytes = std::min(share, left);
-    result_.carried_megabytes += bytes / 1e6;
+  double consume(double step_bytes, double remaining_bytes) {
+    const double bytes = std::min(step_bytes, remaining_bytes);
+    result_.transferred_megabytes += bytes / 1e6;
     return bytes;
   }
 
-  void answered(Node& node) {
+  void on_response(Node& node) {
     const double end = now_ + kStep;
-    node.have += node.asked;
-    node.left.reset();
-    node.pause = 0.1;
-    const auto took =
-        std::chrono::duration_cast<Duration>(std::chrono::duration<double>(end - node.sent));
-    policy_.answered(node.bounds, node.asked, took, node.have < setup_.list_bytes);
-    node.next_call = end;
-    if (node.have < setup_.list_bytes) return;
+    node.received_bytes += node.requested_bytes;
+    node.remaining_bytes.reset();
+    node.next_backoff = 0.1;
+    const auto duration =
+        std::chrono::duration_cast<Duration>(std::chrono::duration<double>(end - node.sent_at));
+    policy_.on_response(node.bounds, node.requested_bytes, duration,
+                        node.received_bytes < setup_.list_bytes);
+    node.next_read_at = end;
+    if (node.received_bytes < setup_.list_bytes) return;
     if (finished_++ == 0) result_.first = end;
     result_.last = end;
   }
 
-  void give_up(Node& node) {
-    if (node.heard) given_up_.push_back(*node.left);
-    node.left.reset();
+  void abandon_read(Node& node) {
+    if (node.reachable) abandoned_reads_.push_back(*node.remaining_bytes);
+    node.remaining_bytes.reset();
     node.bounds.ask_for_less();
-    // As `Backoff::next_after` does.
-    const double wait = node.pause * (0.5 + fraction() / 2);
-    node.next_call = now_ + std::max(wait - setup_.call_time, std::min(wait, 0.1) / 2);
-    node.pause = std::min(node.pause * 2, 1.0);
+    // Same computation as `Backoff::next_after_attempt`.
+    const double wait = node.next_backoff * (0.5 + random_fraction() / 2);
+    node.next_read_at = now_ + std::max(wait - setup_.read_timeout, std::min(wait, 0.1) / 2);
+    node.next_backoff = std::min(node.next_backoff * 2, 1.0);
   }
 
   ListReadSetup setup_;
   const ListReadPolicy& policy_;
   std::vector<Node> nodes_;
-  std::vector<double> given_up_;  ///< Bytes that the store still carries in vain.
+  std::vector<double> abandoned_reads_;  ///< Bytes of abandoned reads still to be transferred.
   Random random_{7};
   double now_ = 0;
   int finished_ = 0;
   ListReadResult result_;
 };
 
-/// Reads of 1 MB, halved after a silence.
-inline ListReadPolicy whole_reads() {
+/// Reads of 1 MB, halved after each timeout.
+inline ListReadPolicy fixed_size_reads() {
   return {[] { return ReadBounds(); },
           [](ReadBounds& bounds, std::uint64_t, Duration, bool) { bounds.ask_for_more(); }};
 }
 
-/// Reads for as many bytes as came in time before: what `PartitionReplica` does.
-inline ListReadPolicy learned_reads() {
-  return {ReadBounds::of_list,
-          [](ReadBounds& bounds, std::uint64_t bytes, Duration took, bool more) {
+/// Reads sized by the throughput of earlier ones, as in `PartitionReplica`.
+inline ListReadPolicy adaptive_reads() {
+  return {ReadBounds::for_full_read,
+          [](ReadBounds& bounds, std::uint64_t bytes, Duration duration, bool more) {
             if (more) {
-              bounds.answered_in_part(bytes, took);
+              bounds.on_partial_read(bytes, duration);
             } else {
               bounds.ask_for_more();
             }
--- a/tests/store/read_turns_test.cc
+++ b/tests/store/read_turns_test.cc
@@ -14,44 +14,44 @@
 
 namespace asio = boost::asio;
 
-class ReadTurnsTest : public testing::Test {
+class ReadSemaphoreTest : public testing::Test {
  protected:
-  /// Takes a turn, and gives it back some turns of the loop later.
-  asio::awaitable<void> use_turn(int number) {
-    const ReadTurns::Turn turn = co_await turns.take();
+  /// Acquires a permit and releases it after a few iterations of the event loop.
+  asio::awaitable<void> hold_permit(int number) {
+    const ReadTurns::Turn permit = co_await semaphore.take();
     order.push_back(number);
-    most = std::max(most, ++holding);
+    max_holding = std::max(max_holding, ++holding);
     for (int i = 0; i < 3; ++i) co_await asio::post(loop, asio::use_awaitable);
     --holding;
   }
 
   asio::io_context loop;
-  ReadTurns turns{2};
+  ReadTurns semaphore{2};
   std::vector<int> order;
   int holding = 0;
-  int most = 0;
+  int max_holding = 0;
 };
 
-TEST_F(ReadTurnsTest, AFewGoOnAtATimeInTheOrderInWhichTheyCame) {
+TEST_F(ReadSemaphoreTest, LimitsConcurrencyInFifoOrder) {
   for (int number = 0; number < 6; ++number) {
-    asio::co_spawn(loop, use_turn(number), asio::detached);
+    asio::co_spawn(loop, hold_permit(number), asio::detached);
   }
   loop.run();
   EXPECT_EQ(order, (std::vector<int>{0, 1, 2, 3, 4, 5}));
-  EXPECT_EQ(most, 2);
+  EXPECT_EQ(max_holding, 2);
 }
 
-TEST_F(ReadTurnsTest, TurnsMayBeGivenBackWhenTheyAreGone) {
-  auto short_lived = std::make_unique<ReadTurns>(1);
+TEST_F(ReadSemaphoreTest, PermitsMayOutliveSemaphore) {
+  auto short_lived_semaphore = std::make_unique<ReadTurns>(1);
   const auto take = [&]() -> asio::awaitable<void> {
-    const ReadTurns::Turn turn = co_await short_lived->take();
+    const ReadTurns::Turn permit = co_await short_lived_semaphore->take();
     for (int i = 0; i < 3; ++i) co_await asio::post(loop, asio::use_awaitable);
   };
   asio::co_spawn(loop, take(), asio::detached);
   asio::co_spawn(loop, take(), asio::detached);
   loop.run_one();
   loop.run_one();
-  short_lived.reset();
+  short_lived_semaphore.reset();
   loop.run();
   SUCCEED();
 }
--- a/tests/store/shared_read_test.cc
+++ b/tests/store/shared_read_test.cc
@@ -14,49 +14,49 @@
 
 namespace asio = boost::asio;
 
-class SharedReadTest : public testing::Test {
+class CoalescedReadTest : public testing::Test {
  protected:
   asio::awaitable<LogStatus> read() {
     ++reads;
-    for (int i = 0; i < turns_of_a_read; ++i) co_await asio::post(loop, asio::use_awaitable);
+    for (int i = 0; i < iterations_per_read; ++i) co_await asio::post(loop, asio::use_awaitable);
     co_return LogStatus::kOk;
   }
-  /// A caller; notes how many reads had begun when it got its answer.
-  asio::awaitable<void> ask(TimePoint give_up) {
-    const LogStatus status = co_await shared.run([this] { return read(); }, give_up);
-    answers.emplace_back(status, reads);
+  /// Runs one caller and records how many reads had started when it returned.
+  asio::awaitable<void> call(TimePoint deadline) {
+    const LogStatus status = co_await shared.run([this] { return read(); }, deadline);
+    results.emplace_back(status, reads);
   }
-  void spawn(TimePoint give_up = TimePoint::max()) {
-    asio::co_spawn(loop, ask(give_up), asio::detached);
+  void spawn(TimePoint deadline = TimePoint::max()) {
+    asio::co_spawn(loop, call(deadline), asio::detached);
   }
 
   asio::io_context loop;
   SharedRead shared;
-  int turns_of_a_read = 20;
+  int iterations_per_read = 20;
   int reads = 0;
-  std::vector<std::pair<LogStatus, int>> answers;
+  std::vector<std::pair<LogStatus, int>> results;
 };
 
-TEST_F(SharedReadTest, WhoComesDuringAReadSharesTheNext) {
+TEST_F(CoalescedReadTest, CallersDuringAReadShareTheNextOne) {
   spawn();
   while (reads == 0) loop.run_one();
   for (int i = 0; i < 5; ++i) spawn();
   loop.run();
   EXPECT_EQ(reads, 2);
-  ASSERT_EQ(answers.size(), 6U);
-  EXPECT_EQ(answers.front(), std::pair(LogStatus::kOk, 1));
-  EXPECT_EQ(answers.back(), std::pair(LogStatus::kOk, 2));
+  ASSERT_EQ(results.size(), 6U);
+  EXPECT_EQ(results.front(), std::pair(LogStatus::kOk, 1));
+  EXPECT_EQ(results.back(), std::pair(LogStatus::kOk, 2));
 }
 
-TEST_F(SharedReadTest, AReadGoesOnWhenItsCallerHasGivenUp) {
-  turns_of_a_read = 100000;
+TEST_F(CoalescedReadTest, ReadContinuesAfterItsCallerTimesOut) {
+  iterations_per_read = 100000;
   spawn(monotonic_now());
-  while (answers.empty()) loop.run_one();
-  EXPECT_EQ(answers.front(), std::pair(LogStatus::kUnknown, 1));
+  while (results.empty()) loop.run_one();
+  EXPECT_EQ(results.front(), std::pair(LogStatus::kUnknown, 1));
   spawn();
   loop.run();
-  // The one that went on had begun before the second caller came.
-  EXPECT_EQ(answers.back(), std::pair(LogStatus::kOk, 2));
+  // The continued read started before the second call, so a new read was needed.
+  EXPECT_EQ(results.back(), std::pair(LogStatus::kOk, 2));
   EXPECT_EQ(reads, 2);
 }
 
--- a/tests/store/store_traffic_test.cc
+++ b/tests/store/store_traffic_test.cc
@@ -15,7 +15,7 @@
   return call;
 }
 
-TEST(StoreTrafficTest, CallsCountByNameAndTopic) {
+TEST(StoreTrafficTest, CountsCallsByNameAndTopic) {
   StoreTraffic traffic;
   traffic.add(make_call("read", "jobs"));
   traffic.add(make_call("newest", "bodies"));
@@ -25,7 +25,7 @@
   EXPECT_EQ(traffic.counts().at({"newest", "bodies"}), expected);
 }
 
-TEST(StoreTrafficTest, TimeOutsStandApart) {
+TEST(StoreTrafficTest, CountsTimeoutsSeparately) {
   StoreTraffic traffic;
   StoreCall late = make_call("newest", "results");
   late.bytes_answered = 0;
@@ -35,8 +35,8 @@
   EXPECT_EQ(traffic_text(traffic.counts()), "newest:results=2/80/1000/1");
 }
 
-/// What the store turns away costs nothing in bytes and may still be what a node waits for.
-TEST(StoreTrafficTest, CallsThatWereRefusedStandApart) {
+/// A refused call transfers no bytes but may still be what delays a node.
+TEST(StoreTrafficTest, CountsRefusedCallsSeparately) {
   StoreTraffic traffic;
   StoreCall refused = make_call("newest", "servers");
   refused.bytes_answered = 0;
@@ -44,22 +44,22 @@
   traffic.add(refused);
   traffic.add(make_call("newest", "servers"));
   EXPECT_EQ(traffic.counts().at({"newest", "servers"}).refused, 1U);
-  EXPECT_EQ(traffic.take_changes().at({"newest", "servers"}).refused, 1U);
-  EXPECT_TRUE(traffic.take_changes().empty());
+  EXPECT_EQ(traffic.take_delta().at({"newest", "servers"}).refused, 1U);
+  EXPECT_TRUE(traffic.take_delta().empty());
 }
 
-TEST(StoreTrafficTest, ChangesAreToldOnceAndOnlyThose) {
+TEST(StoreTrafficTest, DeltaContainsOnlyNewCalls) {
   StoreTraffic traffic;
   traffic.add(make_call("read", "jobs"));
   traffic.add(make_call("append", "results"));
-  EXPECT_EQ(traffic_text(traffic.take_changes()), "append:results=1/40/1000,read:jobs=1/40/1000");
-  EXPECT_TRUE(traffic.take_changes().empty());
+  EXPECT_EQ(traffic_text(traffic.take_delta()), "append:results=1/40/1000,read:jobs=1/40/1000");
+  EXPECT_TRUE(traffic.take_delta().empty());
   traffic.add(make_call("read", "jobs"));
-  EXPECT_EQ(traffic_text(traffic.take_changes()), "read:jobs=1/40/1000");
+  EXPECT_EQ(traffic_text(traffic.take_delta()), "read:jobs=1/40/1000");
   EXPECT_EQ(traffic.counts().at({"read", "jobs"}).calls, 2U);
 }
 
-TEST(StoreTrafficTest, TopicsOverWhichOneKindIsSpreadCountTogether) {
+TEST(StoreTrafficTest, ShardedTopicsAreCountedTogether) {
   StoreTraffic traffic;
   traffic.add(make_call("newest", "job-results-3"));
   traffic.add(make_call("newest", "job-results-14"));
