--- a/tests/store/compare_list_reads.cc
+++ b/tests/store/compare_list_reads.cc
@@ -27,12 +27,13 @@
 void print_table() {
   constexpr std::uint64_t kRunnerBytes = 230;
   const std::array<ReadVariant, 3> variants{
-      ReadVariant{"1 MB within 1 s, half after a silence", fixed_size_reads(), 1.0},
+      ReadVariant{"1 MB within 1 s, halved after a timeout", fixed_size_reads(), 1.0},
       ReadVariant{"1 MB within 8 s", fixed_size_reads(), 8.0},
-      ReadVariant{"64 kB first, then what came in 0.3 s", adaptive_reads(), 1.0},
+      ReadVariant{"64 kB first, then as much as 0.3 s allow", adaptive_reads(), 1.0},
   };
   std::printf(
-      "| nodes | way | first, s | last, s | MB carried | calls |\n|---|---|---|---|---|---|\n");
+      "| nodes | method | first, s | last, s | MB transferred | calls "
+      "|\n|---|---|---|---|---|---|\n");
   for (const auto& [nodes, runners] : {std::pair{9, 90}, std::pair{61, 610}, std::pair{89, 890},
                                        std::pair{295, 3000}, std::pair{420, 2900}}) {
     ListReadSetup setup;
@@ -40,7 +41,7 @@
     setup.list_bytes = runners * kRunnerBytes;
     for (const ReadVariant& variant : variants) print_row(variant, setup);
   }
-  std::printf("\nWith 2 %% of the answers lost:\n\n");
+  std::printf("\nWith 2 %% of the responses lost:\n\n");
   ListReadSetup setup;
   setup.nodes = 295;
   setup.list_bytes = 3000 * kRunnerBytes;
