--- a/tests/platform/decoder_mutation_test.cc
+++ b/tests/platform/decoder_mutation_test.cc
@@ -1,8 +1,8 @@
-// Decoders of what others write: whatever the bytes are, a decoder returns, and what it returns
-// keeps the bounds that the rest of the program counts on. Inputs are examples with seeded
-// mutations. CI plays a short run; a long one is `STOATHOLD_MUTATIONS=1000000
-// stoathold_platform_test
-// --gtest_filter='DecoderMutationTest.*'`, with STOATHOLD_MUTATION_SEED for another seed.
+// Mutation tests of the decoders of untrusted input: for any bytes, a decoder returns, and its
+// result satisfies the bounds that the rest of the program relies on. Inputs are examples with
+// seeded mutations. CI runs a short test; a long one is
+//   STOATHOLD_MUTATIONS=1000000 stoathold_platform_test --gtest_filter='DecoderMutationTest.*'
+// with STOATHOLD_MUTATION_SEED for another seed.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -24,12 +24,12 @@
 constexpr std::uint64_t kRunsInCi = 20000;
 constexpr std::uint64_t kSeed = 20261202;
 
-std::uint64_t number_from_environment(const char* name, std::uint64_t otherwise) {
+std::uint64_t uint64_from_environment(const char* name, std::uint64_t fallback) {
   const char* text = std::getenv(name);
-  return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? fallback : std::strtoull(text, nullptr, 10);
 }
 
-/// Text that decoders of JSON and of framed records are known to stumble over.
+/// Tokens that commonly break decoders of JSON and of framed records.
 constexpr std::array<std::string_view, 22> kTokens{"null",    "true",
                                                    "-1",      "0",
                                                    "2.5",     "1e999",
@@ -70,11 +70,11 @@
   }
 }
 
-/// Calls the check with each example and with mutations of them.
-void play(const std::vector<std::string>& examples,
-          const std::function<void(const std::string&)>& check) {
-  const std::uint64_t runs = number_from_environment("STOATHOLD_MUTATIONS", kRunsInCi);
-  Random random(number_from_environment("STOATHOLD_MUTATION_SEED", kSeed));
+/// Calls the check with each example and with mutations of the examples.
+void run_mutations(const std::vector<std::string>& examples,
+                   const std::function<void(const std::string&)>& check) {
+  const std::uint64_t runs = uint64_from_environment("STOATHOLD_MUTATIONS", kRunsInCi);
+  Random random(uint64_from_environment("STOATHOLD_MUTATION_SEED", kSeed));
   for (const auto& example : examples) check(example);
   for (std::uint64_t run = 0; run < runs; ++run) {
     std::string bytes = examples[random.below(examples.size())];
@@ -87,17 +87,17 @@
   }
 }
 
-TEST(DecoderMutationTest, ARunnerEntryNamesAUsableRunnerOrNone) {
+TEST(DecoderMutationTest, RunnerEntryIsValidOrRejected) {
   const std::vector<std::string> examples{
       R"({"service":"s","address":"10.0.0.1:80","zone":"z","version":"1.2","slots":4,)"
       R"("state":"ready","cold_remaining_ms":0,"sequence":7,"born":1764720000000})",
       R"({"service":"t","address":"10.0.0.2:8080","zone":"y","slots":17,"state":"draining"})"};
-  std::uint64_t named = 0;
-  play(examples, [&](const std::string& bytes) {
+  std::uint64_t valid_entries = 0;
+  run_mutations(examples, [&](const std::string& bytes) {
     const RunnerEntry entry = parse_runner_entry("r1", bytes);
     ASSERT_EQ(entry.runner.has_value(), entry.fault == RunnerEntryFault::kNone);
     if (!entry.runner) return;
-    ++named;
+    ++valid_entries;
     const RunnerRecord& runner = *entry.runner;
     std::string host;
     std::uint16_t port = 0;
@@ -106,11 +106,11 @@
     ASSERT_TRUE(split_address(runner.address, host, port) && port > 0);
     ASSERT_TRUE(runner.slots >= 1 && runner.slots <= std::numeric_limits<std::uint16_t>::max());
   });
-  // A run that only ever met refused entries would prove nothing about those that are taken.
-  EXPECT_GT(named, examples.size());
+  // If all mutated entries were rejected, the checks on valid entries would not have run.
+  EXPECT_GT(valid_entries, examples.size());
 }
 
-TEST(DecoderMutationTest, AConfigurationHoldsNoNegativeOrOverflowingTimes) {
+TEST(DecoderMutationTest, ConfigurationDurationsAreNotNegative) {
   const std::vector<std::string> examples{
       R"({"version":7,"routes":[{"name":"r1","host":"A.example","path_prefix":"/x/",)"
       R"("kind":"streaming","timeout_ms":5000,"target_latency_ms":200,"priority":1,)"
@@ -120,7 +120,7 @@
       R"("tenants":[{"name":"alder","api_keys":["k1"],"rate_per_s":12.5,"burst":20}],)"
       R"("limits":{"max_header_bytes":16384,"header_timeout_ms":3000}})",
       R"({"version":1e18,"routes":[{"kind":"batch","retention_s":60}],"services":[]})"};
-  play(examples, [](const std::string& bytes) {
+  run_mutations(examples, [](const std::string& bytes) {
     const auto configuration = parse_configuration(bytes);
     if (!configuration) return;
     for (const Route& route : configuration->routes) {
@@ -133,12 +133,12 @@
   });
 }
 
-TEST(DecoderMutationTest, FramedRecordsKeepTheirOffsets) {
+TEST(DecoderMutationTest, FramedRecordsHaveConsecutiveOffsets) {
   const std::string head = std::string(7, '\0') + '\4' + std::string(8, '\0');
   const std::vector<std::string> examples{
       head + frame_records({{"r1", "a"}, {"", "b"}, {"r3", ""}}),
       head + frame_records({{std::string(255, 'k'), std::string(300, 'v')}})};
-  play(examples, [](const std::string& bytes) {
+  run_mutations(examples, [](const std::string& bytes) {
     constexpr RecordOffset kFrom = 5;
     ReadResult result;
     if (!parse_records(bytes, kFrom, result)) return;
@@ -149,11 +149,11 @@
   });
 }
 
-TEST(DecoderMutationTest, ASubmissionIsTakenWholeOrNotAtAll) {
+TEST(DecoderMutationTest, SubmissionIsAcceptedCompletelyOrRejected) {
   const std::vector<std::string> examples{
       R"({"items":[{"id":"i1","path":"/x/3","headers":{"A":"b"},"body":"q83vEg==",)"
       R"("token_count":940},{"id":"i2","path":"/x/4","body":""}]})"};
-  play(examples, [](const std::string& bytes) {
+  run_mutations(examples, [](const std::string& bytes) {
     NewJob job;
     if (!parse_submission(bytes, job)) return;
     ASSERT_FALSE(job.requests.empty());
@@ -163,17 +163,17 @@
   });
 }
 
-TEST(DecoderMutationTest, FieldsOfAnyObjectAreReadWithinTheirBounds) {
+TEST(DecoderMutationTest, JsonFieldsStayWithinBounds) {
   const std::vector<std::string> examples{R"({"n":7,"m":-1,"t":"x","f":true,"a":[1,2]})",
                                           R"({"n":1e300,"m":2.5,"t":5,"f":0,"a":{}})"};
-  play(examples, [](const std::string& bytes) {
+  run_mutations(examples, [](const std::string& bytes) {
     const auto object = parse_object(bytes);
     if (!object) return;
     for (const char* name : {"n", "m", "t", "f", "a"}) {
-      ASSERT_GE(milliseconds_of(*object, name).count(), 0);
-      ASSERT_GE(seconds_of(*object, name).count(), 0);
-      ASSERT_GE(decimal_of(*object, name), 0.0);
-      ASSERT_LE(small_number_of(*object, name), number_of(*object, name));
+      ASSERT_GE(milliseconds_field(*object, name).count(), 0);
+      ASSERT_GE(seconds_field(*object, name).count(), 0);
+      ASSERT_GE(double_field(*object, name), 0.0);
+      ASSERT_LE(uint32_field(*object, name), uint64_field(*object, name));
     }
   });
 }
--- a/tests/platform/platform_configuration_test.cc
+++ b/tests/platform/platform_configuration_test.cc
@@ -21,7 +21,7 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":4194304,"header_timeout_ms":3000,
  "idle_timeout_ms":15000}})";
 
-TEST(PlatformConfigurationTest, RoutesServicesAndLimitsAreRead) {
+TEST(PlatformConfigurationTest, ParsesRoutesServicesAndLimits) {
   const auto configuration = parse_configuration(kConfiguration);
   ASSERT_TRUE(configuration);
   EXPECT_EQ(configuration->version, 7U);
@@ -39,7 +39,7 @@
   EXPECT_EQ(configuration->limits.idle_timeout, std::chrono::seconds(15));
 }
 
-TEST(PlatformConfigurationTest, TenantsAreRead) {
+TEST(PlatformConfigurationTest, ParsesTenants) {
   const auto configuration = parse_configuration(kConfiguration);
   ASSERT_TRUE(configuration);
   const Tenant* alder = configuration->tenants.find_key("k2");
@@ -56,8 +56,8 @@
   EXPECT_FALSE(configuration->routes[1].anonymous_access);
 }
 
-// A version that is no number was read as 0 and passed over without a line.
-TEST(PlatformConfigurationTest, AVersionThatIsNoNumberMakesTheRecordMalformed) {
+// Guards against reading a non-numeric version as 0, which ignored the record without a log line.
+TEST(PlatformConfigurationTest, RejectsNonNumericVersion) {
   const std::string rest = R"(,"routes":[],"services":[]})";
   for (const char* version : {R"("581")", "true", "null", "[581]"}) {
     EXPECT_FALSE(parse_configuration(std::string(R"({"version":)") + version + rest)) << version;
@@ -65,13 +65,13 @@
   EXPECT_TRUE(parse_configuration(R"({"version":581)" + rest));
 }
 
-TEST(PlatformConfigurationTest, AnUnknownKindIsTreatedAsUnsafe) {
+TEST(PlatformConfigurationTest, UnknownRouteKindIsUnsafe) {
   const auto configuration = parse_configuration(kConfiguration);
   ASSERT_TRUE(configuration);
   EXPECT_EQ(configuration->routes[2].kind, RouteKind::kUnsafe);
 }
 
-TEST(PlatformConfigurationTest, MalformedRecordsAreRefused) {
+TEST(PlatformConfigurationTest, RejectsMalformedRecords) {
   EXPECT_FALSE(parse_configuration("{"));
   EXPECT_FALSE(parse_configuration("[]"));
   EXPECT_FALSE(parse_configuration(R"({"version":1})"));
@@ -79,7 +79,7 @@
   EXPECT_FALSE(parse_runner_entry("r", R"({"service":"s"})").runner);
 }
 
-TEST(PlatformConfigurationTest, OnlyReadyRunnersTakeWork) {
+TEST(PlatformConfigurationTest, ParsesReadyAndDrainingRunners) {
   const auto ready =
       parse_runner_entry(
           "r1", R"({"service":"s","address":"10.0.0.1:80","zone":"z","slots":17,"state":"ready"})")
--- a/tests/platform/platform_settings_test.cc
+++ b/tests/platform/platform_settings_test.cc
@@ -8,7 +8,7 @@
 namespace stoathold::platform {
 namespace {
 
-constexpr const char* kWhole = R"(
+constexpr const char* kCompleteSettings = R"(
 node_name: "n1"
 zone: "z1"
 ip: "127.0.0.1"
@@ -33,8 +33,8 @@
   PlatformSettings settings;
 };
 
-TEST_F(PlatformSettingsTest, FieldsAreReadAndUnknownOnesPassedOver) {
-  EXPECT_TRUE(read(kWhole).empty());
+TEST_F(PlatformSettingsTest, ParsesFieldsAndIgnoresUnknownOnes) {
+  EXPECT_TRUE(read(kCompleteSettings).empty());
   EXPECT_EQ(settings.caller_listen, "127.0.0.1:81");
   EXPECT_EQ(settings.first_peer_port, 7000);
   EXPECT_EQ(settings.stop_grace, std::chrono::seconds(6));
@@ -43,14 +43,14 @@
   EXPECT_EQ(settings.memory_bytes, 290UL * 1024 * 1024);
 }
 
-TEST_F(PlatformSettingsTest, EachMissingFieldIsNamed) {
-  const auto faults = read("node_name: n1\nzone: z1\n");
-  EXPECT_EQ(faults,
+TEST_F(PlatformSettingsTest, ReportsEachMissingField) {
+  const auto errors = read("node_name: n1\nzone: z1\n");
+  EXPECT_EQ(errors,
             (std::vector<std::string>{"ip: missing", "listen.front: missing",
                                       "listen.ready: missing", "platform.address: missing"}));
 }
 
-TEST_F(PlatformSettingsTest, WhatIsNotYamlIsAFault) {
+TEST_F(PlatformSettingsTest, RejectsInvalidYaml) {
   EXPECT_FALSE(read("{{{").empty());
   EXPECT_FALSE(read("just text").empty());
   EXPECT_FALSE(read_platform_settings("/nonexistent", settings).empty());
--- a/tests/platform/record_framing_test.cc
+++ b/tests/platform/record_framing_test.cc
@@ -5,12 +5,13 @@
 namespace stoathold::platform {
 namespace {
 
-std::string with_ends(const std::string& records) {
+std::string with_response_header(const std::string& records) {
   return std::string("\0\0\0\0\0\0\0\7", 8) + std::string(8, '\0') + records;
 }
 
-TEST(RecordFramingTest, RecordsComeBackWithTheirOffsets) {
-  const std::string bytes = with_ends(frame_records({{"a", "1"}, {"b", ""}, {"c", "333"}}));
+TEST(RecordFramingTest, DecodesRecordsWithOffsets) {
+  const std::string bytes =
+      with_response_header(frame_records({{"a", "1"}, {"b", ""}, {"c", "333"}}));
   ReadResult result;
   ASSERT_TRUE(parse_records(bytes, 4, result));
   EXPECT_EQ(result.end, 7U);
@@ -21,8 +22,8 @@
   EXPECT_EQ(result.records[2].offset, 6U);
 }
 
-TEST(RecordFramingTest, DamageIsNoticed) {
-  const std::string bytes = with_ends(frame_records({{"a", "1"}}));
+TEST(RecordFramingTest, RejectsTruncatedResponses) {
+  const std::string bytes = with_response_header(frame_records({{"a", "1"}}));
   for (std::size_t size = 0; size < bytes.size(); ++size) {
     ReadResult result;
     const bool read = parse_records(bytes.substr(0, size), 0, result);
@@ -30,14 +31,14 @@
   }
 }
 
-/// One record whose key is longer than the record made the whole answer malformed, so that a node
-/// read the same answer for ever and learned of no later record. The frame of such a record is
-/// whole: the records beside it are read with their own offsets, and it comes as one that has no
-/// key, which every reader of records calls malformed.
-TEST(RecordFramingTest, ARecordWithoutAReadableKeyKeepsItsPlaceAndHidesNoOther) {
-  std::string bytes = with_ends(frame_records({{"a", "1"}, {"b", "2"}, {"c", "3"}}));
-  constexpr std::size_t kRecord = 7;
-  bytes[16 + kRecord + 4] = 9;  // The second key, longer than its record.
+/// Guards against rejecting a whole response because of one record whose key length exceeds the
+/// record: the node then read the same response forever and received no later records. The frame of
+/// such a record is complete, so the other records keep their offsets, and it is returned with an
+/// empty key, which every sink treats as malformed.
+TEST(RecordFramingTest, UndecodableKeyDoesNotAffectOtherRecords) {
+  std::string bytes = with_response_header(frame_records({{"a", "1"}, {"b", "2"}, {"c", "3"}}));
+  constexpr std::size_t kRecordBytes = 7;
+  bytes[16 + kRecordBytes + 4] = 9;  // Key length of the second record, longer than the record.
   ReadResult result;
   ASSERT_TRUE(parse_records(bytes, 4, result));
   ASSERT_EQ(result.records.size(), 3U);
@@ -49,8 +50,9 @@
   EXPECT_EQ(result.records[2].offset, 6U);
 }
 
-TEST(RecordFramingTest, AnEmptyRecordKeepsItsPlace) {
-  const std::string bytes = with_ends(std::string(4, '\0') + frame_records({{"a", "1"}}));
+TEST(RecordFramingTest, EmptyRecordKeepsItsOffset) {
+  const std::string bytes =
+      with_response_header(std::string(4, '\0') + frame_records({{"a", "1"}}));
   ReadResult result;
   ASSERT_TRUE(parse_records(bytes, 4, result));
   ASSERT_EQ(result.records.size(), 2U);
