--- a/tests/platform/job_api_test.cc
+++ b/tests/platform/job_api_test.cc
@@ -1,4 +1,4 @@
-// Calls for batch jobs with keys and tenants, over a log in this process.
+// Access control of the batch job API by key and tenant, with an in-process log.
 #include "platform/job_api.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 constexpr const char* kHost = "drafts.example";
 
-/// A node that takes jobs; two tenants, one with two keys.
+/// Runs a node that serves the job API for two tenants, one of which has two keys.
 class JobApiTest : public testing::Test {
  protected:
   JobApiTest()
@@ -27,7 +27,7 @@
   }
 
   boost::asio::awaitable<void> serve(HttpExchange& exchange) {
-    if (JobApi::owns(exchange.target())) {
+    if (JobApi::handles(exchange.target())) {
       co_await api.serve(exchange);
       co_return;
     }
@@ -76,14 +76,14 @@
   HttpServer server;
 };
 
-TEST_F(JobApiTest, EveryKeyOfTheTenantSeesTheJob) {
+TEST_F(JobApiTest, JobIsVisibleToEveryKeyOfItsTenant) {
   ASSERT_EQ(submit(), 202);
   EXPECT_EQ(call("GET", "/api/lots/j1?after_rev=0", "a1").status, 200);
   EXPECT_EQ(call("GET", "/api/lots/j1?after_rev=0", "a2").status, 200);
   EXPECT_EQ(call("GET", "/api/items/j1?id=i1", "a2").body, "abc");
 }
 
-TEST_F(JobApiTest, ForOthersItIsNotThere) {
+TEST_F(JobApiTest, JobIsNotVisibleToOtherCallers) {
   ASSERT_EQ(submit(), 202);
   EXPECT_EQ(call("GET", "/api/lots/j1?after_rev=0", "b1").status, 404);
   EXPECT_EQ(call("GET", "/api/items/j1?id=i1", "b1").status, 404);
@@ -93,7 +93,7 @@
   EXPECT_EQ(call("DELETE", "/api/lots/j1", "").status, 401);
 }
 
-TEST_F(JobApiTest, AJobOutlivesTheKeyThatSubmittedIt) {
+TEST_F(JobApiTest, JobOutlivesTheKeyThatSubmittedIt) {
   ASSERT_EQ(submit(), 202);
   configure({{"alder", {"a2"}, {}, {}}});
   EXPECT_EQ(call("GET", "/api/lots/j1?after_rev=0", "a1").status, 401);
@@ -102,16 +102,16 @@
   EXPECT_EQ(call("DELETE", "/api/lots/j1", "a2").status, 200);
 }
 
-// A read that was held while its key was taken away was once answered 404: the job was the
-// tenant's, and the key by then nobody's.
-TEST_F(JobApiTest, AReadThatIsHeldWhileItsKeyIsTakenAwayIsAnswered) {
+// Guards against a 404 response to a held read whose key is revoked meanwhile: access must be
+// checked with the tenant at the start of the call, since the key no longer maps to one.
+TEST_F(JobApiTest, HeldReadSurvivesRevocationOfItsKey) {
   ASSERT_EQ(submit(), 202);
   boost::asio::steady_timer timer(loop, std::chrono::milliseconds(30));
   timer.async_wait([&](boost::system::error_code) { configure({{"alder", {"a2"}, {}, {}}}); });
   EXPECT_EQ(call("GET", "/api/lots/j1?after_rev=0", "a1", {}, "1000").status, 200);
 }
 
-TEST_F(JobApiTest, BeforeTheFirstConfigurationNothingIsDenied) {
+TEST_F(JobApiTest, RespondsUnavailableBeforeTheFirstConfiguration) {
   ASSERT_EQ(submit(), 202);
   context.configuration.reset();
   EXPECT_EQ(call("GET", "/api/lots/j1?after_rev=0", "a1").status, 503);
--- a/tests/platform/job_messages_test.cc
+++ b/tests/platform/job_messages_test.cc
@@ -5,7 +5,7 @@
 namespace stoathold::platform {
 namespace {
 
-TEST(JobMessagesTest, ItemsAreRead) {
+TEST(JobMessagesTest, ParsesItems) {
   NewJob job;
   ASSERT_TRUE(parse_submission(
       R"({"items":[{"id":"i1","path":"/x/3","headers":{"A":"b"},"body":"q83vEg==","token_count":940}]})",
@@ -16,7 +16,7 @@
   EXPECT_EQ(job.requests[0].headers[0].second, "b");
 }
 
-TEST(JobMessagesTest, MalformedSubmissionsAreRefusedWhole) {
+TEST(JobMessagesTest, RejectsMalformedSubmissions) {
   for (const char* body :
        {"", "{}", R"({"items":[]})", R"({"items":[{}]})", R"({"items":[{"id":"","path":"/x"}]})",
         R"({"items":[{"id":"i","path":"x","body":""}]})",
@@ -29,9 +29,9 @@
   }
 }
 
-/// An item's headers and path come from its submitter's JSON, where a line end is a character like
-/// any other; sent to a runner, what follows it would be a header or a request of its own.
-TEST(JobMessagesTest, ItemsWhoseHeadersOrPathsHoldLineEndsAreRefused) {
+/// Headers and paths of items come from the submitter's JSON, whose strings may contain line
+/// breaks. Forwarded to a runner, the text after one would be parsed as another header or request.
+TEST(JobMessagesTest, RejectsLineBreaksInHeadersAndPaths) {
   for (const char* item :
        {R"({"id":"i","path":"/x","body":"","headers":{"A":"b\r\nC: d"}})",
         R"({"id":"i","path":"/x","body":"","headers":{"A: b\r\nC":"d"}})",
@@ -47,7 +47,7 @@
       job));
 }
 
-TEST(JobMessagesTest, APageHasAtLeastOneResultAndEndsWhenItIsLarge) {
+TEST(JobMessagesTest, PageHasAtLeastOneResultAndIsBoundedInSize) {
   JobEntry job;
   ReadResult found;
   for (std::uint32_t i = 0; i < 3; ++i) {
@@ -65,12 +65,13 @@
   EXPECT_NE(page.find(R"("next_token":2)"), std::string::npos);
   EXPECT_NE(page.find(R"("id":"i1")"), std::string::npos);
   EXPECT_EQ(page.find(R"("id":"i2")"), std::string::npos);
-  const std::string behind = format_results(job, results, 7);
-  EXPECT_NE(behind.find(R"("next_token":7)"), std::string::npos);
+  const std::string past_end = format_results(job, results, 7);
+  EXPECT_NE(past_end.find(R"("next_token":7)"), std::string::npos);
 }
 
-/// A caller would take an empty message for what the runner said, and never ask for it again.
-TEST(JobMessagesTest, APageEndsInFrontOfATextThatWasNotRead) {
+/// Guards against returning an empty message for a result whose text was not read: the caller would
+/// take it for the runner's response and never request it again.
+TEST(JobMessagesTest, PageEndsBeforeTextThatWasNotRead) {
   JobEntry job;
   ReadResult found;
   const std::string text(kMostWholeTextBytes + 1, 'x');
--- a/tests/platform/recorded_exchange.h
+++ b/tests/platform/recorded_exchange.h
@@ -1,5 +1,5 @@
 /// @file
-/// A request without a connection, whose answer is recorded, for tests.
+/// Test double of an HTTP exchange without a connection, which records the response.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -11,7 +11,7 @@
 
 namespace stoathold {
 
-/// Takes the answer of one handler; streamed bodies are collected.
+/// Records the response of one handler; streamed bodies are concatenated.
 class RecordedExchange final : public HttpExchange {
  public:
   RecordedExchange(boost::asio::any_io_executor executor, std::string target,
@@ -20,9 +20,9 @@
         target_(std::move(target)),
         request_headers_(std::move(request_headers)) {}
 
-  int status = 0;  ///< 0: not answered yet.
-  std::string answer;
-  std::vector<HttpHeader> answer_headers;
+  int status = 0;  ///< 0: no response yet.
+  std::string response_body;
+  std::vector<HttpHeader> response_headers;
 
   std::string_view method() const override { return "POST"; }
   std::string_view target() const override { return target_; }
@@ -36,8 +36,8 @@
   boost::asio::awaitable<void> respond(int status_in, std::string_view /*content_type*/,
                                        std::string body, std::vector<HttpHeader> headers) override {
     status = status_in;
-    answer = std::move(body);
-    answer_headers = std::move(headers);
+    response_body = std::move(body);
+    response_headers = std::move(headers);
     co_return;
   }
   boost::asio::awaitable<bool> start_stream(std::string_view /*content_type*/) override {
@@ -49,11 +49,11 @@
     co_return true;
   }
   boost::asio::awaitable<bool> write(std::string_view bytes) override {
-    answer += bytes;
+    response_body += bytes;
     co_return true;
   }
   boost::asio::awaitable<bool> write_ahead(std::string_view bytes) override {
-    answer += bytes;
+    response_body += bytes;
     co_return true;
   }
   boost::asio::awaitable<bool> flush() override { co_return true; }
--- a/tests/platform/runner_restarts_test.cc
+++ b/tests/platform/runner_restarts_test.cc
@@ -1,11 +1,10 @@
-// A runner may start again under the id that it had, and the new start holds and knows nothing of
-// before; `born` in its entry tells the two apart. All that a node believed of a runner hung on the
-// id alone, so the new start took over what had been seen of the one before: its requests in
-// flight, its load, its ejection, its mark of leaving, idle connections to it, and the requests
-// that it had ended with. A request that ended every start of one runner was never kept away from
-// runners: each end overwrote the one before, and hearing the new start refuted it. A runner whose
-// entry lapsed during an outage of the store was the other way round taken for a new one, and its
-// requests in flight were forgotten.
+// Restarts of runners under the same id. `born` in a runner's entry distinguishes the instances,
+// and a new instance must not inherit state. When all state was keyed by the id alone, a new
+// instance inherited its predecessor's requests in flight, load, ejection, leaving mark, idle
+// connections and the exits attributed to requests. A request with which every instance of one
+// runner exited was never quarantined: each exit overwrote the previous one, and a response of the
+// new instance cleared it. Conversely, a runner whose entry expired during a store outage was
+// treated as a new runner, and its requests in flight were lost.
 #include <gtest/gtest.h>
 
 #include <boost/asio.hpp>
@@ -43,8 +42,8 @@
       runner.end_attempt(AttemptOutcome::kUnreachable, monotonic_now());
     }
   }
-  /// Lists the next start as soon as the runner has been sent a request.
-  boost::asio::awaitable<void> restart_once_asked(ScriptedRunner& scripted) {
+  /// Lists a new instance as soon as the runner has received a request.
+  boost::asio::awaitable<void> restart_after_first_request(ScriptedRunner& scripted) {
     boost::asio::steady_timer timer(loop);
     while (scripted.requests.empty()) {
       timer.expires_after(std::chrono::milliseconds(1));
@@ -57,7 +56,7 @@
   RecordOffset offset = 0;
 };
 
-TEST_F(RunnerRestartsTest, ANewStartTakesNothingOverFromTheOneBefore) {
+TEST_F(RunnerRestartsTest, RestartedRunnerInheritsNoState) {
   list("r1", kFirstStart);
   const auto before = runner("r1");
   fail_until_ejected(*before);
@@ -87,7 +86,7 @@
   EXPECT_EQ(context.runners.of_service("chat").size(), 1U);
 }
 
-TEST_F(RunnerRestartsTest, AttemptsAtTheOlderStartAreEvidenceAboutThatOnly) {
+TEST_F(RunnerRestartsTest, AttemptsAtOlderInstanceDoNotAffectNewInstance) {
   list("r1", kFirstStart);
   const auto before = runner("r1");
   before->begin_attempt();
@@ -98,7 +97,7 @@
   EXPECT_FALSE(runner("r1")->ejected(monotonic_now()));
 }
 
-TEST_F(RunnerRestartsTest, TheSameStartKeepsWhatIsKnownOfIt) {
+TEST_F(RunnerRestartsTest, UpdateOfSameInstanceKeepsState) {
   list("r1", kFirstStart, R"(,"sequence":40)");
   const auto before = runner("r1");
   before->begin_attempt();
@@ -107,29 +106,29 @@
   EXPECT_EQ(runner("r1")->in_flight(), 1U);
 }
 
-TEST_F(RunnerRestartsTest, TheNewestEntryCountsEvenIfItsClockStepsBack) {
+TEST_F(RunnerRestartsTest, NewestEntryWinsEvenIfClockStepsBack) {
   list("r1", kSecondStart);
   const auto before = runner("r1");
   before->begin_attempt();
   list("r1", kFirstStart);
   EXPECT_NE(runner("r1")->hash(), before->hash());
   EXPECT_EQ(runner("r1")->in_flight(), 0U);
-  // A list that is read anew says the same as the records one by one.
+  // A reset with the newest records has the same effect as applying them one by one.
   sink.reset({{offset++, "r1", entry(kSecondStart)}});
   EXPECT_EQ(runner("r1")->hash(), before->hash());
 }
 
-TEST_F(RunnerRestartsTest, WhatNodesStillSayOfTheOlderStartDoesNotTouchTheNewOne) {
+TEST_F(RunnerRestartsTest, PeerReportsAboutOlderInstanceDoNotAffectNewInstance) {
   list("r1", kFirstStart);
   const std::uint64_t older = runner("r1")->hash();
   PeerUseTable uses(context.runners, "zone", 1);
   const auto digest = [&](std::uint64_t sequence, std::uint64_t hash) {
-    LoadDigest told;
-    told.sender = 2;
-    told.sequence = sequence;
-    told.zone = stable_hash("zone");
-    told.uses = {{hash, 4, 2, 900, 5}};
-    return told;
+    LoadDigest digest_message;
+    digest_message.sender = 2;
+    digest_message.sequence = sequence;
+    digest_message.zone = stable_hash("zone");
+    digest_message.uses = {{hash, 4, 2, 900, 5}};
+    return digest_message;
   };
   uses.take(digest(1, older), {}, {}, monotonic_now());
   EXPECT_EQ(runner("r1")->preemptible(), 2U);
@@ -143,22 +142,23 @@
   EXPECT_EQ(runner("r1")->preemptible(), 2U);
 }
 
-TEST_F(RunnerRestartsTest, ARequestThatEndsEachStartOfOneRunnerIsKeptAway) {
+TEST_F(RunnerRestartsTest, RequestThatEndsEveryInstanceIsQuarantined) {
   constexpr auto kContent = ContentHash{77};
-  constexpr std::uint64_t kStarts = 3;  // As many ends of runs that had begun condemn a request.
+  // Number of exits after the response started that quarantines a request.
+  constexpr std::uint64_t kStarts = 3;
   for (std::uint64_t start = 0; start < kStarts; ++start) {
     EXPECT_FALSE(context.quarantine.holds(kContent, monotonic_now()));
     list("r1", kFirstStart + start);
     const auto ended = runner("r1");
     ended->heard(monotonic_now());
     context.quarantine.note_end({kContent, ended->hash(), RunStage::kBegun, monotonic_now()});
-    // The next start answers under the id before its entry has come.
+    // The next instance responds under the same id before its entry arrives.
     ended->heard(monotonic_now() + std::chrono::milliseconds(1));
   }
   EXPECT_TRUE(context.quarantine.holds(kContent, monotonic_now()));
 }
 
-TEST_F(RunnerRestartsTest, AnIdleConnectionToTheOlderStartIsNotUsed) {
+TEST_F(RunnerRestartsTest, IdleConnectionToOlderInstanceIsNotReused) {
   configure(RouteKind::kSafe, false);
   ScriptedRunner scripted(loop, {{plain_answer("answer", "{id}", "200 OK",
                                                "X-Response-Signature: s\r\n"
@@ -173,31 +173,31 @@
   EXPECT_EQ(scripted.connections, 2);
 }
 
-TEST_F(RunnerRestartsTest, ARequestThatMayRunAgainMayRunAtTheNewStart) {
+TEST_F(RunnerRestartsTest, RetryableRequestIsRetriedAtNewInstance) {
   configure(RouteKind::kSafe, false);
   ScriptedRunner scripted(loop, {{"", true}, {plain_answer("answer")}});
   list("r1", kFirstStart, "", scripted.address());
-  boost::asio::co_spawn(loop, restart_once_asked(scripted), boost::asio::detached);
+  boost::asio::co_spawn(loop, restart_after_first_request(scripted), boost::asio::detached);
   const CallerView view = ask();
   EXPECT_EQ(view.status, 200);
   EXPECT_EQ(view.body, "answer");
 }
 
-TEST_F(RunnerRestartsTest, WhatMayHaveRunAtTheOlderStartDoesNotRunAgain) {
+TEST_F(RunnerRestartsTest, UnsafeRequestIsNotRetriedAtNewInstance) {
   configure(RouteKind::kUnsafe, false, 3);
   ScriptedRunner scripted(loop, {{"", true}, {plain_answer("again")}});
   list("r1", kFirstStart, "", scripted.address());
-  boost::asio::co_spawn(loop, restart_once_asked(scripted), boost::asio::detached);
+  boost::asio::co_spawn(loop, restart_after_first_request(scripted), boost::asio::detached);
   EXPECT_EQ(ask().status, 502);
   EXPECT_EQ(scripted.requests.size(), 1U);
 }
 
-TEST_F(RunnerRestartsTest, AStreamGoesOnAtTheNewStart) {
+TEST_F(RunnerRestartsTest, StreamResumesAtNewInstance) {
   configure(RouteKind::kStreaming, true);
   ScriptedRunner scripted(loop, {{stream_head() + chunk(event(1)), true},
                                  {stream_head() + chunk(event(2)) + kLastChunk}});
   list("r1", kFirstStart, "", scripted.address());
-  boost::asio::co_spawn(loop, restart_once_asked(scripted), boost::asio::detached);
+  boost::asio::co_spawn(loop, restart_after_first_request(scripted), boost::asio::detached);
   const CallerView view = ask();
   EXPECT_TRUE(view.complete);
   EXPECT_EQ(view.body, event(1) + event(2));
@@ -205,7 +205,7 @@
   EXPECT_NE(scripted.requests[1].find("Last-Event-Id: 1"), std::string::npos);
 }
 
-TEST_F(RunnerRestartsTest, AStartThatLapsedAndIsBackIsTheSame) {
+TEST_F(RunnerRestartsTest, ReappearingInstanceKeepsState) {
   list("r1", kFirstStart);
   const auto before = runner("r1");
   before->begin_attempt();
@@ -215,14 +215,14 @@
   list("r1", kFirstStart);
   EXPECT_EQ(runner("r1")->in_flight(), 1U);
   EXPECT_TRUE(runner("r1")->ejected(monotonic_now()));
-  // The same if the list is read anew, once while the entries are away and once when they are back.
+  // The same holds for resets, one while the entry is absent and one after it is back.
   sink.reset({});
   EXPECT_TRUE(context.runners.of_service("chat").empty());
   sink.reset({{offset++, "r1", entry(kFirstStart)}});
   EXPECT_EQ(runner("r1")->in_flight(), 1U);
 }
 
-TEST_F(RunnerRestartsTest, AStartThatIsListedAgainIsNotLeaving) {
+TEST_F(RunnerRestartsTest, RelistedInstanceIsNotLeaving) {
   list("r1", kFirstStart);
   runner("r1")->mark_leaving();
   drop("r1");
@@ -230,7 +230,7 @@
   EXPECT_TRUE(runner("r1")->available());
 }
 
-TEST_F(RunnerRestartsTest, ANewStartThatComesAfterALapseIsNotTheOneBefore) {
+TEST_F(RunnerRestartsTest, NewInstanceAfterLapsedEntryInheritsNoState) {
   list("r1", kFirstStart);
   runner("r1")->begin_attempt();
   const auto before = runner("r1");
@@ -240,7 +240,7 @@
   EXPECT_NE(runner("r1"), before);
 }
 
-TEST_F(RunnerRestartsTest, PromptPrefixesOfOtherRunnersStayWhereTheyAre) {
+TEST_F(RunnerRestartsTest, RestartDoesNotMovePrefixesOfOtherRunners) {
   constexpr std::uint64_t kKeys = 200;
   const auto warm_runners = [&] {
     std::vector<std::string> chosen;
--- a/tests/platform/starting_node_test.cc
+++ b/tests/platform/starting_node_test.cc
@@ -1,4 +1,4 @@
-// What a node says by the configuration while it reads the history of it.
+// Responses of a starting node while it reads the history of the configuration.
 #include <gtest/gtest.h>
 
 #include <boost/asio/co_spawn.hpp>
@@ -23,7 +23,7 @@
 constexpr const char* kAddedRoute = "/added/";
 constexpr const char* kDroppedRoute = "/dropped/";
 constexpr std::uint64_t kVersions = 40;
-/// So that a read of 64 kB brings one version.
+/// Padding that makes a read of 64 kB return one version.
 constexpr std::size_t kPaddingBytes = 60UL * 1024;
 
 json::object route(const std::string& prefix) {
@@ -43,14 +43,14 @@
   return json::serialize(object);
 }
 
-/// A request that was sent to the node, and the version that served it; 0: none.
-struct Asked {
+/// A request sent to the node, with its recorded exchange.
+struct SentRequest {
   std::string target;
   std::unique_ptr<RecordedExchange> exchange;
 };
 
-/// A log of 40 versions, of which the last adds a route and drops another; a node that starts, and
-/// a caller that asks it for each route at each step of its reading.
+/// Sets up a log of 40 versions, the last of which adds one route and removes another, a starting
+/// node, and a caller that requests each route after each read of the node.
 class StartingNodeTest : public testing::Test {
  protected:
   StartingNodeTest()
@@ -79,34 +79,36 @@
   void start() {
     boost::asio::co_spawn(loop, replica->follow([this] { return running; }), boost::asio::detached);
   }
-  void ask(const std::string& target) {
+  void send_request(const std::string& target) {
     std::vector<HttpHeader> headers{{"Host", kHost}, {"X-Request-Id", "id"}};
-    asked.push_back({target, std::make_unique<RecordedExchange>(loop.get_executor(), target,
-                                                                std::move(headers))});
-    boost::asio::co_spawn(loop, gateway.serve(*asked.back().exchange), boost::asio::detached);
+    sent_requests.push_back({target, std::make_unique<RecordedExchange>(loop.get_executor(), target,
+                                                                        std::move(headers))});
+    boost::asio::co_spawn(loop, gateway.serve(*sent_requests.back().exchange),
+                          boost::asio::detached);
   }
-  void ask_each() {
-    for (const char* target : {kKeptRoute, kAddedRoute, kDroppedRoute}) ask(target);
+  void request_each_route() {
+    for (const char* target : {kKeptRoute, kAddedRoute, kDroppedRoute}) send_request(target);
   }
   void run_for(Duration duration) {
     loop.restart();
     loop.run_for(duration);
   }
-  /// One read of the node's is answered.
-  void let_a_read_through() {
+  /// Completes one pending read of the node.
+  void release_one_read() {
     log.release();
     run_for(std::chrono::milliseconds(2));
   }
-  /// Ends what still waits.
+  /// Completes all pending operations.
   void finish() {
     running = false;
-    for (int step = 0; step < 4; ++step) let_a_read_through();
+    for (int step = 0; step < 4; ++step) release_one_read();
     run_for(std::chrono::milliseconds(400));
   }
-  [[nodiscard]] int denials_of(const std::string& target) const {
-    return static_cast<int>(std::count_if(asked.begin(), asked.end(), [&](const Asked& each) {
-      return each.target == target && each.exchange->status == 404;
-    }));
+  [[nodiscard]] int count_denials(const std::string& target) const {
+    return static_cast<int>(
+        std::count_if(sent_requests.begin(), sent_requests.end(), [&](const SentRequest& each) {
+          return each.target == target && each.exchange->status == 404;
+        }));
   }
 
   static inline const PartitionName kPartition{kConfigurationTopic, 0};
@@ -118,31 +120,33 @@
   ConfigurationSink sink;
   std::shared_ptr<PartitionReplica> replica;
   bool running = true;
-  std::deque<Asked> asked;
+  std::deque<SentRequest> sent_requests;
   std::vector<std::uint64_t> served_by;  ///< Versions that served a request.
 };
 
-// A starting node denied and served by each version of the history as it read it.
-TEST_F(StartingNodeTest, NoRequestIsAnsweredByAVersionThatWasReplacedBeforeTheStart) {
+// Guards against a starting node that applies each historical version as it reads it: requests were
+// rejected or served according to outdated versions.
+TEST_F(StartingNodeTest, NoRequestIsServedByAVersionReplacedBeforeTheStart) {
   start();
   for (std::uint64_t step = 0; step < kVersions + 2; ++step) {
-    ask_each();
-    let_a_read_through();
+    request_each_route();
+    release_one_read();
   }
-  ask_each();
+  request_each_route();
   run_for(std::chrono::milliseconds(20));
   finish();
-  EXPECT_EQ(denials_of(kKeptRoute), 0);
-  EXPECT_EQ(denials_of(kAddedRoute), 0);
-  EXPECT_GT(denials_of(kDroppedRoute), 0);
+  EXPECT_EQ(count_denials(kKeptRoute), 0);
+  EXPECT_EQ(count_denials(kAddedRoute), 0);
+  EXPECT_GT(count_denials(kDroppedRoute), 0);
   ASSERT_FALSE(served_by.empty());
   EXPECT_EQ(*std::min_element(served_by.begin(), served_by.end()), kVersions);
 }
 
-// A starting node read all versions of the history: 72 at once asked the store for 138 MB.
-TEST_F(StartingNodeTest, ReadingTheConfigurationCostsOneVersionHoweverManyThereWere) {
+// Guards against a starting node that reads every historical version: 72 nodes that started
+// together requested 138 MB from the store.
+TEST_F(StartingNodeTest, ReadsOnlyTheNewestVersion) {
   start();
-  for (std::uint64_t step = 0; step < kVersions + 2; ++step) let_a_read_through();
+  for (std::uint64_t step = 0; step < kVersions + 2; ++step) release_one_read();
   finish();
   ASSERT_TRUE(context.configuration);
   EXPECT_EQ(context.configuration->version, kVersions);
--- a/tests/platform/store_sinks_test.cc
+++ b/tests/platform/store_sinks_test.cc
@@ -21,7 +21,7 @@
   GatewayContext context{loop.get_executor(), HeaderDialect{}, "z"};
 };
 
-TEST_F(StoreSinksTest, VersionsOnlyRiseAndDamageKeepsTheLastGoodOne) {
+TEST_F(StoreSinksTest, VersionNeverDecreasesAndMalformedRecordsAreIgnored) {
   int calls = 0;
   ConfigurationSink sink(context, [&](const ServingConfiguration&) { ++calls; });
   sink.apply({0, "config", configuration(5)});
@@ -39,23 +39,24 @@
   EXPECT_EQ(calls, 2);
 }
 
-TEST_F(StoreSinksTest, AnotherNodesRecordIsTakenOnlyIfItIsNewer) {
+TEST_F(StoreSinksTest, PeerRecordIsAppliedOnlyIfNewer) {
   ConfigurationSink sink(context, nullptr);
   sink.apply({10, "config", configuration(5)});
   sink.on_caught_up();
   sink.apply_from_peer({9, "", configuration(4)});
   EXPECT_EQ(context.configuration->version, 5U);
-  EXPECT_EQ(sink.in_force().offset, 10U);
+  EXPECT_EQ(sink.active_record().offset, 10U);
   sink.apply_from_peer({11, "", configuration(7)});
   EXPECT_EQ(context.configuration->version, 7U);
-  EXPECT_EQ(sink.in_force().value, configuration(7));
+  EXPECT_EQ(sink.active_record().value, configuration(7));
   // The store delivers the same record later.
   sink.apply({11, "config", configuration(7)});
-  EXPECT_EQ(sink.in_force().offset, 11U);
+  EXPECT_EQ(sink.active_record().offset, 11U);
 }
 
-// A starting node gave work to runners that had left long before, while it read the list.
-TEST_F(StoreSinksTest, ARunnerThatHasLeftIsNotUsedWhileTheListIsRead) {
+// Guards against a starting node that sends requests to runners that were removed long ago, while
+// it still reads the list.
+TEST_F(StoreSinksTest, RemovedRunnerIsNotUsedDuringInitialRead) {
   RunnerSink sink(context);
   sink.apply({0, "r1", runner("ready")});
   sink.apply({1, "r2", runner("ready")});
@@ -69,16 +70,16 @@
   EXPECT_FALSE(context.runners.all().at("r2")->available());
 }
 
-TEST_F(StoreSinksTest, RunnersComeDrainAndGo) {
+TEST_F(StoreSinksTest, RunnersAreAddedDrainedAndRemoved) {
   RunnerSink sink(context);
   sink.on_caught_up();
   sink.apply({0, "r1", runner("ready")});
-  const auto held = context.runners.all().at("r1");
-  EXPECT_TRUE(held->available());
+  const auto added_runner = context.runners.all().at("r1");
+  EXPECT_TRUE(added_runner->available());
   sink.apply({1, "r1", runner("draining")});
-  EXPECT_FALSE(held->available());
+  EXPECT_FALSE(added_runner->available());
   sink.apply({2, "r1", "damaged"});
-  EXPECT_FALSE(held->available());
+  EXPECT_FALSE(added_runner->available());
   sink.apply({3, "r1", ""});
   EXPECT_TRUE(context.runners.all().empty());
   sink.apply({4, "r1", runner("ready")});
