--- a/src/store/append_size.h
+++ b/src/store/append_size.h
@@ -16,8 +16,10 @@
 /// completed.
 class AppendSize {
  public:
+  /// @param max_bytes initial and maximum size.
   explicit AppendSize(std::uint64_t max_bytes) : max_bytes_(max_bytes), bytes_(max_bytes) {}
 
+  /// Returns the size limit of the next append.
   [[nodiscard]] std::uint64_t bytes() const { return bytes_; }
   /// Adjusts the size to the outcome of an append of the current size.
   void observe(LogStatus status) {
--- a/src/store/partition_replica.cc
+++ b/src/store/partition_replica.cc
@@ -46,27 +46,27 @@
 }
 
 void PartitionReplica::adapt_read_limits(const ReadResult& result, Duration duration) {
-  if (result.status == LogStatus::kUnknown) bounds_.ask_for_less();
+  if (result.status == LogStatus::kUnknown) read_limits_.ask_for_less();
   if (result.status != LogStatus::kOk) return;
   const bool complete = result.records.empty() || result.records.back().offset + 1 >= result.end;
   if (complete) {
-    bounds_.ask_for_more();
+    read_limits_.ask_for_more();
     return;
   }
   std::uint64_t bytes = 0;
   for (const auto& record : result.records) bytes += record.key.size() + record.value.size();
-  bounds_.on_partial_read(bytes, duration);
+  read_limits_.on_partial_read(bytes, duration);
 }
 
 asio::awaitable<LogStatus> PartitionReplica::load_newest() {
   const KeyRange all_keys;
   const Duration page_timeout = scope_ == ReplicaScope::kNewest
-                                    ? std::min(bounds_.patience, kMaxNewestPageTimeout)
-                                    : bounds_.patience;
+                                    ? std::min(read_limits_.patience, kMaxNewestPageTimeout)
+                                    : read_limits_.patience;
   ReadResult result = co_await newest_.run(log_, partition_, all_keys, page_timeout);
-  if (result.status == LogStatus::kUnknown) bounds_.ask_for_less();
+  if (result.status == LogStatus::kUnknown) read_limits_.ask_for_less();
   if (result.status != LogStatus::kOk) co_return result.status;
-  bounds_.ask_for_more();
+  read_limits_.ask_for_more();
   health_.end = std::max(health_.end, result.end);
   if (result.end < next_offset_) co_return LogStatus::kOk;
   std::erase_if(result.records,
@@ -88,7 +88,7 @@
 asio::awaitable<LogStatus> PartitionReplica::read_next(Duration wait, bool& at_end) {
   const TimePoint sent = monotonic_now();
   const RecordOffset from = next_offset_;
-  const ReadResult result = co_await log_.read(partition_, from, bounds_.bytes, wait);
+  const ReadResult result = co_await log_.read(partition_, from, read_limits_.bytes, wait);
   adapt_read_limits(result, monotonic_now() - sent);
   if (result.status != LogStatus::kOk) co_return result.status;
   health_.end = std::max(health_.end, result.end);
@@ -121,7 +121,7 @@
 
 asio::awaitable<LogStatus> PartitionReplica::catch_up() {
   const SharedRead::Read read = [self = shared_from_this()] { return self->read_to_end(); };
-  co_return co_await catch_ups_.run(read, TimePoint::max());
+  co_return co_await catch_up_read_.run(read, TimePoint::max());
 }
 
 asio::awaitable<LogStatus> PartitionReplica::read_to_end() {
--- a/src/store/partition_replica.h
+++ b/src/store/partition_replica.h
@@ -77,9 +77,11 @@
     loaded_listener_ = std::move(listener);
   }
 
+  /// Returns the partition that is replicated.
   [[nodiscard]] const PartitionName& name() const { return partition_; }
   /// Returns the offset of the first record that is not applied yet.
   [[nodiscard]] RecordOffset next_offset() const { return next_offset_; }
+  /// Returns the status of the replica's reads.
   [[nodiscard]] const ReplicaHealth& health() const { return health_; }
 
  private:
@@ -100,8 +102,8 @@
   RecordOffset next_offset_ = 0;
   ReplicaHealth health_;
   NewestRead newest_;
-  SharedRead catch_ups_;
-  ReadBounds bounds_ = ReadBounds::for_full_read();  ///< For the next read.
+  SharedRead catch_up_read_;
+  ReadBounds read_limits_ = ReadBounds::for_full_read();  ///< For the next read.
   std::function<void()> loaded_listener_;
 };
 
--- a/src/store/read_turns.h
+++ b/src/store/read_turns.h
@@ -16,6 +16,7 @@
 /// after the semaphore is destroyed, as happens at process exit.
 class ReadTurns {
  public:
+  /// @param max_concurrent number of permits.
   explicit ReadTurns(int max_concurrent) : state_(std::make_shared<State>()) {
     state_->available = max_concurrent;
   }
--- a/src/store/record_log.h
+++ b/src/store/record_log.h
@@ -117,6 +117,7 @@
  public:
   virtual ~RecordLog() = default;
 
+  /// Returns the limits that callers must respect.
   [[nodiscard]] virtual const LogLimits& limits() const = 0;
 
   /// Reads records from offset `from` on, waiting up to `wait` for the first one.
--- a/src/store/store_traffic.h
+++ b/src/store/store_traffic.h
@@ -41,7 +41,9 @@
   /// Totals keyed by call and topic.
   using Counts = std::map<std::pair<std::string, std::string>, TrafficCount>;
 
+  /// Adds a completed call to the counters.
   void add(const StoreCall& call);
+  /// Returns the totals since process start.
   [[nodiscard]] const Counts& counts() const { return counts_; }
   /// Returns the increments since the previous call.
   Counts take_delta();
