--- a/src/store/partition_replica.h
+++ b/src/store/partition_replica.h
@@ -79,7 +79,8 @@
 
   /// Returns the partition that is replicated.
   [[nodiscard]] const PartitionName& name() const { return partition_; }
-  /// Returns the offset of the first record that is not applied yet.
+  /// Returns the offset of the first record that is not applied yet; after catching up, this is the
+  /// last known end of the partition.
   [[nodiscard]] RecordOffset next_offset() const { return next_offset_; }
   /// Returns the status of the replica's reads.
   [[nodiscard]] const ReplicaHealth& health() const { return health_; }
--- a/src/store/read_bounds.h
+++ b/src/store/read_bounds.h
@@ -15,14 +15,14 @@
 struct ReadBounds {
   /// Lower bound of a read's duration, which avoids a division by zero.
   static constexpr double kMinSeconds = 0.0001;
-  /// The log returns at max_next_bytes 1 MB per read.
+  /// The log returns at most 1 MB per read.
   static constexpr std::uint64_t kMaxBytes = 1024UL * 1024;
   /// Holds the requests of four items of a typical 15 kB.
   static constexpr std::uint64_t kMinBytes = 64UL * 1024;
   /// Size of the first read of a partition that is read completely. When 300 nodes start together,
   /// they request 20 MB, which takes a store that serves 80 MB/s 0.24 s.
   static constexpr std::uint64_t kInitialBytes = 64UL * 1024;
-  /// A tenth of the bytes that such a store can send to each of 420 nodes in a second.
+  /// About a tenth of what a store of 80 MB/s can send to each of 420 nodes in a second.
   static constexpr std::uint64_t kMinFullReadBytes = 16UL * 1024;
   /// Target duration of a read among many concurrent ones: a third of its timeout, so that it still
   /// completes when three times as many nodes read at the same time.
