--- a/src/core/batch_messages.h
+++ b/src/core/batch_messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// Messages between shard owners and runners' owners about batch items.
+/// Messages about batch items between shard owners and runner owners.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace stoathold {
 
-/// Names one item of one job in one shard.
+/// Identifies one item of a batch job in a shard.
 struct ItemKey {
   ShardId shard{};
   JobId job{};
@@ -26,7 +26,7 @@
   }
 };
 
-/// A runner's owner asks a shard owner for work for free places.
+/// Requests up to `max_items` items from a shard owner, one for each free runner slot.
 struct BatchPull {
   std::vector<std::string> services;
   std::uint32_t places = 0;
@@ -37,7 +37,7 @@
   }
 };
 
-/// One item handed out, with the text generated so far if it was paused before.
+/// One assigned item, with the text generated so far if it was preempted before.
 struct AssignedItem {
   ItemKey key;
   std::string service;
@@ -61,7 +61,7 @@
   }
 };
 
-/// A finished item, or (`finished` false) one handed back with its progress.
+/// A finished item, or, if `finished` is false, an unfinished one returned with its progress.
 struct ReturnedItem {
   ItemKey key;
   bool finished = false;
@@ -83,7 +83,7 @@
   }
 };
 
-/// Confirms that the listed items need not be returned again.
+/// Acknowledges returned items, so that the sender stops resending them.
 struct BatchReturnAck {
   std::vector<ItemKey> items;
 
@@ -93,7 +93,7 @@
   }
 };
 
-/// Says which items the sender still works on, so that they are not handed out again.
+/// Renews the assignments of items that the sender still works on, so that they do not expire.
 struct BatchRenew {
   std::vector<ItemKey> items;
 
@@ -103,7 +103,7 @@
   }
 };
 
-/// Tells a runner's owner to stop the listed items and forget them.
+/// Requests that a runner owner stop and discard the listed items.
 struct BatchStop {
   std::vector<ItemKey> items;
 
@@ -113,7 +113,7 @@
   }
 };
 
-/// Tells a runner's owner that an online stream starts there, ahead of its load report.
+/// Notifies a runner owner of an online stream start before the runner's load report shows it.
 struct OnlineNotice {
   RunnerId runner{};
 
--- a/src/core/job_scheduler.cc
+++ b/src/core/job_scheduler.cc
@@ -18,25 +18,25 @@
     }
     jobs_[id] = std::move(scheduled);
   }
-  const auto over = [&](JobId id) {
+  const auto is_inactive = [&](JobId id) {
     const auto* job = state.find_job(id);
     return job == nullptr || job->finished();
   };
-  std::map<NodeId, std::vector<ItemKey>> stopped;
+  std::map<NodeId, std::vector<ItemKey>> cancelled_items;
   for (auto position = assignments_.begin(); position != assignments_.end();) {
-    if (over(position->first.job)) {
-      stopped[position->second.node].push_back(position->first);
+    if (is_inactive(position->first.job)) {
+      cancelled_items[position->second.node].push_back(position->first);
       position = assignments_.erase(position);
     } else {
       ++position;
     }
   }
-  std::erase_if(jobs_, [&](const auto& item) { return over(item.first); });
-  std::erase_if(progress_, [&](const auto& item) { return over(item.first.job); });
+  std::erase_if(jobs_, [&](const auto& item) { return is_inactive(item.first); });
+  std::erase_if(progress_, [&](const auto& item) { return is_inactive(item.first.job); });
   std::erase_if(finishing_, [&](const ItemKey& key) {
-    return over(key.job) || state.find_job(key.job)->item_completed(key.index);
+    return is_inactive(key.job) || state.find_job(key.job)->item_completed(key.index);
   });
-  return stopped;
+  return cancelled_items;
 }
 
 void JobScheduler::clear() {
@@ -44,18 +44,18 @@
   assignments_.clear();
   progress_.clear();
   finishing_.clear();
-  loaded_.clear();
-  loaded_order_.clear();
+  loaded_runs_.clear();
+  loaded_run_order_.clear();
 }
 
-std::vector<JobId> JobScheduler::jobs_by_urgency(const std::vector<std::string>& services) const {
+std::vector<JobId> JobScheduler::jobs_by_priority(const std::vector<std::string>& services) const {
   std::vector<JobId> order;
   for (const auto& [id, job] : jobs_) {
-    const bool served =
+    const bool is_served =
         std::find(services.begin(), services.end(), job.specification.service) != services.end();
-    if (served && !job.waiting.empty()) order.push_back(id);
+    if (is_served && !job.waiting.empty()) order.push_back(id);
   }
-  const auto more_urgent = [this](JobId left, JobId right) {
+  const auto precedes = [this](JobId left, JobId right) {
     const auto& a = jobs_.at(left);
     const auto& b = jobs_.at(right);
     if (a.weight != b.weight) return a.weight > b.weight;
@@ -66,20 +66,20 @@
     if (deadline(a) != deadline(b)) return deadline(a) < deadline(b);
     return left < right;
   };
-  std::sort(order.begin(), order.end(), more_urgent);
+  std::sort(order.begin(), order.end(), precedes);
   return order;
 }
 
 const BatchItem* JobScheduler::find_item(JobId job, const ScheduledJob& scheduled,
                                          std::uint32_t index,
                                          std::optional<Offset>& missing_run) const {
-  const auto holds = [index](const ItemRun& run) {
+  const auto contains_index = [index](const ItemRun& run) {
     return index >= run.first_index && index - run.first_index < run.count;
   };
-  const auto run = std::find_if(scheduled.runs.begin(), scheduled.runs.end(), holds);
+  const auto run = std::find_if(scheduled.runs.begin(), scheduled.runs.end(), contains_index);
   if (run == scheduled.runs.end()) return nullptr;
-  const auto entry = loaded_.find(run->offset);
-  if (entry == loaded_.end()) {
+  const auto entry = loaded_runs_.find(run->offset);
+  if (entry == loaded_runs_.end()) {
     missing_run = run->offset;
     return nullptr;
   }
@@ -90,14 +90,14 @@
   return position < submitted->second.items.size() ? &submitted->second.items[position] : nullptr;
 }
 
-std::vector<AssignedItem> JobScheduler::assign(NodeId puller,
+std::vector<AssignedItem> JobScheduler::assign(NodeId requester,
                                                const std::vector<std::string>& services,
-                                               std::uint32_t places, TimePoint now,
+                                               std::uint32_t max_items, TimePoint now,
                                                std::optional<Offset>& missing_run) {
   std::vector<AssignedItem> assigned;
-  for (const JobId id : jobs_by_urgency(services)) {
+  for (const JobId id : jobs_by_priority(services)) {
     auto& job = jobs_.at(id);
-    while (assigned.size() < places && !job.waiting.empty()) {
+    while (assigned.size() < max_items && !job.waiting.empty()) {
       const std::uint32_t index = job.waiting.front();
       const BatchItem* item = find_item(id, job, index, missing_run);
       if (item == nullptr) return assigned;
@@ -108,26 +108,26 @@
         next.resume_tokens = progress->second.tokens;
         next.resume_text = progress->second.text;
       }
-      assignments_[key] = {puller, now + knobs_.assignment_timeout};
+      assignments_[key] = {requester, now + knobs_.assignment_timeout};
       assigned.push_back(std::move(next));
     }
-    if (assigned.size() >= places) break;
+    if (assigned.size() >= max_items) break;
   }
   return assigned;
 }
 
 void JobScheduler::load_run(Offset offset, const ShardEntry& entry) {
-  if (loaded_.contains(offset)) return;
-  auto& runs = loaded_[offset];
+  if (loaded_runs_.contains(offset)) return;
+  auto& runs = loaded_runs_[offset];
   for (const auto& record : entry.records) {
     const auto* submitted = std::get_if<ItemsSubmitted>(&record);
     if (submitted == nullptr) continue;
     runs[JobId{mix_hashes(value_of(submitted->job), submitted->first_index)}] = *submitted;
   }
-  loaded_order_.push_back(offset);
-  while (loaded_order_.size() > knobs_.loaded_runs_limit) {
-    loaded_.erase(loaded_order_.front());
-    loaded_order_.pop_front();
+  loaded_run_order_.push_back(offset);
+  while (loaded_run_order_.size() > knobs_.max_loaded_runs) {
+    loaded_runs_.erase(loaded_run_order_.front());
+    loaded_run_order_.pop_front();
   }
 }
 
@@ -143,7 +143,7 @@
   return true;
 }
 
-void JobScheduler::put_back(const ItemKey& key) {
+void JobScheduler::requeue(const ItemKey& key) {
   const auto found = jobs_.find(key.job);
   if (found == jobs_.end() || finishing_.contains(key)) return;
   found->second.waiting.push_front(key.index);
@@ -153,16 +153,16 @@
   if (assignments_.erase(item.key) == 0) return;
   auto& progress = progress_[item.key];
   if (item.tokens > progress.tokens) progress = {item.tokens, item.text};
-  put_back(item.key);
+  requeue(item.key);
 }
 
 std::vector<ItemKey> JobScheduler::renew(NodeId node, const std::vector<ItemKey>& items,
                                          const ShardState& state, TimePoint now) {
-  std::vector<ItemKey> stop;
+  std::vector<ItemKey> items_to_stop;
   for (const auto& key : items) {
     const auto* job = state.find_job(key.job);
     if (job == nullptr || job->finished() || job->item_completed(key.index)) {
-      stop.push_back(key);
+      items_to_stop.push_back(key);
       continue;
     }
     const auto found = assignments_.find(key);
@@ -172,17 +172,17 @@
     const auto scheduled = jobs_.find(key.job);
     if (was_waiting && scheduled != jobs_.end()) std::erase(scheduled->second.waiting, key.index);
   }
-  return stop;
+  return items_to_stop;
 }
 
-void JobScheduler::expire(TimePoint now, const std::function<bool(NodeId)>& alive) {
+void JobScheduler::expire(TimePoint now, const std::function<bool(NodeId)>& is_alive) {
   std::vector<ItemKey> expired;
   for (const auto& [key, assignment] : assignments_) {
-    if (now >= assignment.until || !alive(assignment.node)) expired.push_back(key);
+    if (now >= assignment.expires_at || !is_alive(assignment.node)) expired.push_back(key);
   }
   for (const auto& key : expired) {
     assignments_.erase(key);
-    put_back(key);
+    requeue(key);
   }
 }
 
@@ -194,10 +194,10 @@
   }
   std::vector<PendingCount> counts;
   for (const auto& [key, items] : sums) counts.push_back({key.first, key.second, items});
-  const auto heavier = [](const auto& left, const auto& right) {
+  const auto has_higher_weight = [](const auto& left, const auto& right) {
     return left.weight > right.weight;
   };
-  std::stable_sort(counts.begin(), counts.end(), heavier);
+  std::stable_sort(counts.begin(), counts.end(), has_higher_weight);
   return counts;
 }
 
--- a/src/core/membership.cc
+++ b/src/core/membership.cc
@@ -11,17 +11,18 @@
   std::uint64_t sum = 0;
   for (const auto& member : members) {
     const std::uint64_t identity = mix_hashes(value_of(member.id), value_of(member.incarnation));
-    const std::uint64_t condition =
+    const std::uint64_t state_code =
         static_cast<std::uint64_t>(member.state) * 2 + (member.log_reachable ? 1 : 0);
-    sum += mix_hashes(identity, condition + 1);
+    sum += mix_hashes(identity, state_code + 1);
   }
   return sum;
 }
 
-bool knows(const DigestRequest& request, const std::string& zone, std::uint64_t version) {
-  return std::any_of(request.known.begin(), request.known.end(), [&](const ZoneVersion& held) {
-    return held.zone == zone && held.version == version;
-  });
+bool has_version(const DigestRequest& request, const std::string& zone, std::uint64_t version) {
+  return std::any_of(request.known.begin(), request.known.end(),
+                     [&](const ZoneVersion& zone_version) {
+                       return zone_version.zone == zone && zone_version.version == version;
+                     });
 }
 
 }  // namespace
@@ -47,21 +48,21 @@
   if (!inserted && same_start && entry.record.state == MemberState::kLeft) return;
   const bool changed = inserted || entry.record != sender || entry.liveness != Liveness::kAlive;
   entry.record = sender;
-  entry.last_heard = now;
+  entry.last_receive_time = now;
   entry.liveness = Liveness::kAlive;
   if (changed) refresh_ready();
   if (heartbeat.foreign_view != 0) compare_foreign_view(heartbeat, now, effects);
 }
 
 void Membership::compare_foreign_view(const Heartbeat& heartbeat, TimePoint now, Effects& effects) {
-  // A relay trusts only what it hears from the zones themselves: two relays that took each other's
-  // word would keep a lost zone alive between them.
+  // A relay accepts only information received directly from the other zones. If two relays accepted
+  // each other's view, they would keep an unreachable zone alive indefinitely.
   if (self_is_relay()) return;
   if (heartbeat.foreign_view == foreign_view()) {
     for (auto& [name, zone] : foreign_zones_) {
       if (!zone.reachable) continue;
-      zone.last_heard = now;
-      zone.vouchers.insert(heartbeat.sender.id);
+      zone.last_receive_time = now;
+      zone.confirming_relays.insert(heartbeat.sender.id);
     }
     return;
   }
@@ -76,7 +77,7 @@
   const std::scoped_lock lock(mutex_);
   if (summary.zone == self_.zone) return;
   auto& zone = foreign_zones_[summary.zone];
-  zone.last_heard = now;
+  zone.last_receive_time = now;
   if (!zone.reachable) {
     zone.reachable = true;
     refresh_ready();
@@ -91,11 +92,11 @@
 void Membership::store_digest(const ZoneDigest& digest, TimePoint now) {
   if (digest.zone == self_.zone) return;
   auto& zone = foreign_zones_[digest.zone];
-  zone.last_heard = now;
+  zone.last_receive_time = now;
   zone.reachable = true;
   zone.version = digest.version;
   zone.members = digest.members;
-  heartbeat_news_ = true;
+  expedite_heartbeat_ = true;
 }
 
 void Membership::on_digest(const ZoneDigest& digest, TimePoint now) {
@@ -110,16 +111,16 @@
   refresh_ready();
   if (self_is_relay()) return;
   for (auto& [name, zone] : foreign_zones_) {
-    const auto same = [&zone_name = name](const ZoneVersion& held) {
-      return held.zone == zone_name;
+    const auto matches_zone = [&zone_name = name](const ZoneVersion& zone_version) {
+      return zone_version.zone == zone_name;
     };
-    if (std::any_of(view.reachable.begin(), view.reachable.end(), same)) {
-      zone.vouchers.insert(relay);
-      if (zone.reachable) zone.last_heard = now;
+    if (std::any_of(view.reachable.begin(), view.reachable.end(), matches_zone)) {
+      zone.confirming_relays.insert(relay);
+      if (zone.reachable) zone.last_receive_time = now;
       continue;
     }
-    zone.vouchers.erase(relay);
-    if (zone.vouchers.empty()) zone.reachable = false;
+    zone.confirming_relays.erase(relay);
+    if (zone.confirming_relays.empty()) zone.reachable = false;
   }
   refresh_ready();
 }
@@ -139,7 +140,7 @@
   for (const auto& [name, zone] : foreign_zones_) {
     if (!zone.reachable) continue;
     view.reachable.push_back({name, zone.version});
-    if (knows(request, name, zone.version)) continue;
+    if (has_version(request, name, zone.version)) continue;
     view.digests.push_back({name, zone.version, zone.members});
   }
   effects.push_back(SendToPeer{from, address, std::move(view)});
@@ -149,26 +150,26 @@
   const std::scoped_lock lock(mutex_);
   bool changed = false;
   for (auto& [id, entry] : zone_members_) {
-    const Duration silence = now - entry.last_heard;
-    Liveness judged = Liveness::kAlive;
-    if (silence >= knobs_.suspect_after) judged = Liveness::kSuspect;
-    if (silence >= knobs_.dead_after) judged = Liveness::kDead;
-    if (judged != entry.liveness) changed = true;
-    entry.liveness = judged;
+    const Duration time_since_heartbeat = now - entry.last_receive_time;
+    Liveness new_liveness = Liveness::kAlive;
+    if (time_since_heartbeat >= knobs_.suspect_timeout) new_liveness = Liveness::kSuspect;
+    if (time_since_heartbeat >= knobs_.dead_timeout) new_liveness = Liveness::kDead;
+    if (new_liveness != entry.liveness) changed = true;
+    entry.liveness = new_liveness;
   }
-  const auto forgotten = [&](const auto& item) {
-    return now - item.second.last_heard > knobs_.forget_after;
+  const auto is_expired = [&](const auto& item) {
+    return now - item.second.last_receive_time > knobs_.dead_member_retention;
   };
-  std::erase_if(zone_members_, forgotten);
+  std::erase_if(zone_members_, is_expired);
   for (auto& [name, zone] : foreign_zones_) {
-    if (!zone.reachable || now - zone.last_heard < knobs_.zone_silent_after) continue;
+    if (!zone.reachable || now - zone.last_receive_time < knobs_.zone_unreachable_timeout) continue;
     changed = true;
     zone.reachable = false;
-    zone.vouchers.clear();
+    zone.confirming_relays.clear();
   }
   if (changed) {
     refresh_ready();
-    heartbeat_news_ = true;
+    expedite_heartbeat_ = true;
   }
   return changed;
 }
@@ -188,7 +189,7 @@
   std::vector<std::pair<std::uint64_t, NodeId>> ranked;
   const std::uint64_t zone_hash = stable_hash(zone);
   for (const auto& member : members) {
-    // A relay that leaves still speaks for its zone, to say that it left.
+    // A relay that leaves still sends summaries for its zone, to announce its own exit.
     if (member.state == MemberState::kLeft && member.id != self_.id) continue;
     ranked.emplace_back(mix_hashes(zone_hash, value_of(member.id)), member.id);
   }
@@ -223,7 +224,7 @@
 }
 
 bool Membership::heartbeat_due_locked(TimePoint now) const {
-  const bool early = heartbeat_news_ && now - last_heartbeat_ >= knobs_.news_interval;
+  const bool early = expedite_heartbeat_ && now - last_heartbeat_ >= knobs_.min_early_send_interval;
   return now >= next_heartbeat_ || early;
 }
 
@@ -234,7 +235,7 @@
 
 bool Membership::summary_due(TimePoint now) const {
   const std::scoped_lock lock(mutex_);
-  const bool early = summary_news_ && now - last_summary_ >= knobs_.news_interval;
+  const bool early = expedite_summary_ && now - last_summary_ >= knobs_.min_early_send_interval;
   return now >= next_summary_ || early;
 }
 
@@ -248,23 +249,23 @@
   if (!heartbeat_due_locked(now)) return;
   next_heartbeat_ = now + knobs_.heartbeat_period;
   last_heartbeat_ = now;
-  heartbeat_news_ = false;
+  expedite_heartbeat_ = false;
   Heartbeat heartbeat = prototype;
   heartbeat.sender = self_;
-  std::set<NodeId> reached;
+  std::set<NodeId> sent_to;
   for (const auto& [id, entry] : zone_members_) {
     if (entry.record.state == MemberState::kLeft) continue;
-    reached.insert(id);
+    sent_to.insert(id);
     effects.push_back(SendToPeer{id, entry.record.peer_address, heartbeat});
   }
   for (const auto& node : listed_) {
     const NodeId id = node_id_from_name(node.name);
-    if (node.zone != self_.zone || id == self_.id || !reached.insert(id).second) continue;
+    if (node.zone != self_.zone || id == self_.id || !sent_to.insert(id).second) continue;
     effects.push_back(SendToPeer{id, node.peer_address, heartbeat});
   }
 }
 
-std::vector<std::string> Membership::summary_targets(bool all) const {
+std::vector<std::string> Membership::summary_targets(bool to_all_relays) const {
   std::map<std::string, std::vector<MemberRecord>> zones;
   for (const auto& node : listed_) {
     if (node.zone == self_.zone) continue;
@@ -283,8 +284,8 @@
   for (const auto& [name, members] : zones) {
     const auto relays = relays_of(name, members);
     for (std::size_t rank = 0; rank < relays.size(); ++rank) {
-      const bool turn = (summary_round_ + own_rank + rank) % relays.size() == 0;
-      if (!all && !turn) continue;
+      const bool is_scheduled = (summary_round_ + own_rank + rank) % relays.size() == 0;
+      if (!to_all_relays && !is_scheduled) continue;
       const auto found = std::find_if(members.begin(), members.end(), [&](const auto& member) {
         return member.id == relays[rank];
       });
@@ -298,12 +299,12 @@
   const std::scoped_lock lock(mutex_);
   if (!self_is_relay()) {
     next_summary_ = now + knobs_.summary_period;
-    summary_news_ = false;
+    expedite_summary_ = false;
     return;
   }
   const auto members = zone_records();
   const std::uint64_t version = hash_members(members);
-  const bool news = version != sent_digest_version_;
+  const bool digest_changed = version != sent_digest_version_;
   next_summary_ = now + knobs_.summary_period;
   last_summary_ = now;
   sent_digest_version_ = version;
@@ -312,11 +313,11 @@
   summary.zone = self_.zone;
   summary.digest_version = version;
   ++summary_round_;
-  const bool to_all = news || summary_news_;
-  summary_news_ = false;
+  const bool to_all = digest_changed || expedite_summary_;
+  expedite_summary_ = false;
   for (const auto& address : summary_targets(to_all)) {
     effects.push_back(SendToPeer{NodeId{}, address, summary});
-    if (news)
+    if (digest_changed)
       effects.push_back(SendToPeer{NodeId{}, address, ZoneDigest{self_.zone, version, members}});
   }
 }
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -1,5 +1,5 @@
 /// @file
-/// Who is in the fleet: heartbeats inside a zone, digests between zones, direct evidence first.
+/// Fleet membership: heartbeats within a zone, digests between zones.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,8 @@
 
 namespace stoathold {
 
-/// A node as the platform's (lagging) machine list names it: a hint where to send heartbeats.
+/// A node in the platform's machine list. The list lags behind, so an entry is only a hint where to
+/// send heartbeats.
 struct ListedNode {
   std::string name;
   std::string region;
@@ -28,93 +29,101 @@
   bool leaving = false;
 };
 
-/// What this node judges of another member.
+/// Liveness of a member as determined by this node.
 enum class Liveness : std::uint8_t {
   kAlive,
-  kSuspect,      ///< Silent for a while: gets no new work.
-  kDead,         ///< Silent for longer, or said that it left.
-  kUnreachable,  ///< Its whole zone is silent: it may be cut off, or gone.
+  kSuspect,      ///< No heartbeat for `Knobs::suspect_timeout`: gets no new work.
+  kDead,         ///< No heartbeat for `Knobs::dead_timeout`, or announced its exit.
+  kUnreachable,  ///< Nothing received from its zone: partitioned or down.
 };
 
-/// The membership table and the system that runs over it.
+/// Membership table of the fleet and its failure detector.
 ///
-/// Inside its zone a node hears every member's heartbeat; only that direct evidence says whether a
-/// member lives. Other zones are known through digests that a few relays per zone, chosen by
-/// rendezvous hashing, compare by version and send only when they differ. Thread safe.
+/// Within a zone every node receives every member's heartbeat, and only directly received
+/// heartbeats determine whether a member is alive. Other zones are known through digests, exchanged
+/// by a few relays per zone that are chosen by rendezvous hashing. Relays compare digest versions
+/// and send a digest only if the versions differ. Thread safe.
 class Membership {
  public:
-  /// @param self this node; its state is changed with `set_self_state`.
+  /// @param self record of this node; `set_self_state` changes its state.
   Membership(MemberRecord self, const Knobs& knobs);
 
-  /// Takes the machine list's nodes as hints.
+  /// Stores the nodes of the machine list as hints.
   void on_machine_list(const std::vector<ListedNode>& nodes);
-  /// Takes a heartbeat from a member of this zone; asks a relay for other zones' digests when its
-  /// view differs from this node's.
+  /// Applies a heartbeat from a member of this zone. If it comes from a relay whose view of other
+  /// zones differs from this node's, requests their digests from that relay.
   void on_heartbeat(const Heartbeat& heartbeat, TimePoint now, Effects& effects);
-  /// Takes a summary of another zone; asks for its digest when the version differs.
+  /// Applies a summary of another zone and requests the zone's digest if the version differs.
   void on_summary(const ZoneSummary& summary, TimePoint now, Effects& effects);
-  /// Takes a digest of another zone from that zone's relay.
+  /// Applies a digest of another zone, received from that zone's relay.
   void on_digest(const ZoneDigest& digest, TimePoint now);
-  /// Takes a relay's view of the other zones.
+  /// Applies a relay's view of the other zones.
   void on_foreign_view(NodeId relay, const ForeignView& view, TimePoint now);
   /// Answers a request for digests.
   void on_digest_request(NodeId from, const DigestRequest& request, Effects& effects) const;
 
-  /// Judges silence; returns whether any member's standing changed.
+  /// Updates the liveness of members and zones from the time since their last message.
+  /// @return whether any liveness changed.
   bool tick(TimePoint now);
-  /// Whether heartbeats, or (at a relay) summaries, are due: only then need they be composed.
+  /// Whether heartbeats or, at a relay, summaries are due. Lets the caller skip building messages
+  /// that would not be sent.
   [[nodiscard]] bool heartbeat_due(TimePoint now) const;
   [[nodiscard]] bool summary_due(TimePoint now) const;
-  /// Appends the heartbeats due now. `prototype` carries the fields of the other systems.
+  /// Appends the heartbeats due now. `prototype` holds the fields filled in by other components.
   void send_heartbeats(const Heartbeat& prototype, TimePoint now, Effects& effects);
   /// Appends the summaries due now, if this node is a relay of its zone.
   void send_summaries(const ZoneSummary& prototype, TimePoint now, Effects& effects);
 
   void set_self_state(MemberState state);
   void set_self_log_reachable(bool reachable);
-  /// Makes the next heartbeats and summaries due early, because there is news.
-  void hurry();
-  /// Makes them due now, whatever was sent before; for the last ones.
-  void send_now();
+  /// Makes the next heartbeats and summaries due early, limited by
+  /// `Knobs::min_early_send_interval`.
+  void expedite_sends();
+  /// Makes heartbeats and summaries due immediately, without that limit. For the last ones before
+  /// the node exits.
+  void make_sends_due();
   [[nodiscard]] MemberRecord self() const;
   [[nodiscard]] bool is_relay() const;
-  /// Hash of the foreign zones' versions, for heartbeats; 0 if this node is not a relay.
+  /// Returns a hash of the other zones' digest versions for heartbeats; 0 if this node is not a
+  /// relay.
   [[nodiscard]] std::uint64_t foreign_view_if_relay() const;
 
-  /// Members that may own shards: ready and reached by the log, or all that are ready if none is.
+  /// Returns the members that may own shards: the ready members that can reach the log, or all
+  /// ready members if none can.
   [[nodiscard]] std::vector<NodeId> shard_members() const;
-  /// Whether a member says that it reaches the log; true if it is not known.
+  /// Whether a member reports that it can reach the log; true for an unknown member.
   [[nodiscard]] bool reaches_log(NodeId node) const;
-  /// The ready members of this node's zone only.
+  /// Returns the ready and alive members of this node's zone.
   [[nodiscard]] std::vector<NodeId> ready_zone_members() const;
-  /// The same, of any zone.
+  /// Returns the ready members of `zone`; empty if the zone is unreachable.
   [[nodiscard]] std::vector<NodeId> ready_members_of(std::string_view zone) const;
   [[nodiscard]] Liveness liveness(NodeId node) const;
-  /// Whether a node may still finish what it was given, as far as this node can tell.
+  /// Whether a node is alive or suspect, and so may still finish its assigned work.
   [[nodiscard]] bool may_finish_work(NodeId node) const;
-  /// All members known, with this node's judgement of each; for operators.
+  /// Returns all known members and their liveness, for operators.
   [[nodiscard]] std::vector<std::pair<MemberRecord, Liveness>> list() const;
-  /// Grows whenever anything that `list` shows may have changed.
+  /// Returns a counter that increases whenever the result of `list` may have changed.
   [[nodiscard]] std::uint64_t version() const;
-  /// Hash over the shard members; changes when shards may have to move.
+  /// Returns a hash of the shard members. It changes when shards may need new owners.
   [[nodiscard]] std::uint64_t shard_version() const;
-  /// Appends a `SendToPeer` effect if the member's address is known.
+  /// Appends a `SendToPeer` effect; does nothing if the address of `target` is unknown.
   void send(NodeId target, PeerMessage message, Effects& effects) const;
-  /// Number of rows and their approximate size in bytes, for the capacity page.
+  /// Returns the number of members and their approximate size in bytes, for the capacity report.
   [[nodiscard]] std::pair<std::size_t, std::size_t> table_size() const;
 
  private:
   struct MemberEntry {
     MemberRecord record;
-    TimePoint last_heard;
+    TimePoint last_receive_time;
     Liveness liveness = Liveness::kAlive;
   };
   struct ForeignZone {
     std::uint64_t version = 0;
-    TimePoint last_heard;
+    TimePoint last_receive_time;
     bool reachable = true;
     std::vector<MemberRecord> members;
-    std::set<NodeId> vouchers;  ///< Relays of this zone that say they reach it.
+    /// Relays of this node's zone that report the foreign zone as reachable.
+    std::set<NodeId> confirming_relays;
   };
 
   [[nodiscard]] std::vector<MemberRecord> zone_records() const;
@@ -123,8 +132,9 @@
   [[nodiscard]] bool heartbeat_due_locked(TimePoint now) const;
   [[nodiscard]] bool self_is_relay() const;
   [[nodiscard]] std::uint64_t foreign_view() const;
-  /// Addresses of other zones' relays; unless `all`, only those whose turn it is.
-  [[nodiscard]] std::vector<std::string> summary_targets(bool all) const;
+  /// Returns the addresses of other zones' relays: all of them, or only those scheduled for the
+  /// current summary round.
+  [[nodiscard]] std::vector<std::string> summary_targets(bool to_all_relays) const;
   void refresh_ready();
   void refresh_shard_members();
   void compare_foreign_view(const Heartbeat& heartbeat, TimePoint now, Effects& effects);
@@ -134,22 +144,22 @@
   const Knobs& knobs_;
   mutable RankedMutex mutex_{LockRank::kMembership};
   MemberRecord self_;
-  std::unordered_map<NodeId, MemberEntry> zone_members_;  ///< Heard directly.
+  std::unordered_map<NodeId, MemberEntry> zone_members_;  ///< Members that sent heartbeats.
   std::map<std::string, ForeignZone, std::less<>> foreign_zones_;
   std::vector<ListedNode> listed_;
   std::vector<NodeId> ready_;
   std::vector<NodeId> ready_in_zone_;
   std::unordered_map<NodeId, std::string> addresses_;
   std::vector<NodeId> shard_members_;
-  std::set<NodeId> without_log_;
+  std::set<NodeId> log_unreachable_members_;
   std::uint64_t shard_version_ = 0;
   std::uint64_t version_ = 0;
   TimePoint next_heartbeat_;
   TimePoint next_summary_;
   TimePoint last_heartbeat_;
   TimePoint last_summary_;
-  bool heartbeat_news_ = false;
-  bool summary_news_ = false;
+  bool expedite_heartbeat_ = false;
+  bool expedite_summary_ = false;
   std::uint64_t sent_digest_version_ = 0;
   std::uint64_t summary_round_ = 0;
 };
--- a/src/core/membership_messages.h
+++ b/src/core/membership_messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// Messages by which nodes learn of one another, of loads and of the configuration.
+/// Messages that exchange membership, runner loads, pending work and the configuration.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +11,15 @@
 
 namespace stoathold {
 
-/// What a member says of itself.
+/// State of a member, as reported by itself.
 enum class MemberState : std::uint8_t {
-  kStarting,  ///< Not ready: has not yet the newest configuration its peers know.
+  kStarting,  ///< Not ready: lacks the newest configuration known to its peers.
   kReady,
-  kDraining,  ///< Takes no new work; finishes what is in progress.
-  kLeft,      ///< Said that it exits.
+  kDraining,  ///< Accepts no new work and finishes the work in progress.
+  kLeft,      ///< Announced its exit.
 };
 
-/// One member of the fleet as spread by heartbeats and digests.
+/// One member of the fleet, as distributed in heartbeats and digests.
 struct MemberRecord {
   NodeId id{};
   Incarnation incarnation{};
@@ -28,7 +28,7 @@
   std::string zone;
   std::string peer_address;  ///< `ip:port` of the peer protocol.
   MemberState state = MemberState::kStarting;
-  bool log_reachable = true;  ///< False: it gets no answers from the log, so it owns no shards.
+  bool log_reachable = true;  ///< False if its log calls get no response; then it owns no shards.
 
   bool operator==(const MemberRecord&) const = default;
 
@@ -38,7 +38,7 @@
   }
 };
 
-/// Batch work that waits at a shard owner: what pullers choose by.
+/// Batch items waiting at a shard owner. Runner owners use it to choose where to pull from.
 struct PendingWork {
   NodeId owner{};
   std::string service;
@@ -51,7 +51,7 @@
   }
 };
 
-/// Load of one runner as its owner knows it.
+/// Load of one runner, as known to its owner.
 struct RunnerLoad {
   RunnerId runner{};
   std::uint32_t online_streams = 0;
@@ -65,14 +65,14 @@
   }
 };
 
-/// Periodic message inside a zone.
+/// Periodic message to all members of the sender's zone.
 struct Heartbeat {
   MemberRecord sender;
   Offset configuration_next{};            ///< Next configuration offset the sender would apply.
-  std::uint64_t foreign_view = 0;         ///< Hash of what it knows of other zones; 0 if no relay.
-  std::vector<RunnerLoad> loads;          ///< Of the runners it owns.
-  std::vector<PendingWork> pending;       ///< Its own, and as a relay also other zones'.
-  std::vector<RunnerId> foreign_leaving;  ///< From a relay: other zones' runners that leave.
+  std::uint64_t foreign_view = 0;         ///< Hash of a relay's view of other zones; 0 if no relay.
+  std::vector<RunnerLoad> loads;          ///< Loads of the runners that the sender owns.
+  std::vector<PendingWork> pending;       ///< Of the sender; from a relay, also of other nodes.
+  std::vector<RunnerId> foreign_leaving;  ///< From a relay: leaving runners of other zones.
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -80,14 +80,14 @@
   }
 };
 
-/// Periodic message between relays of different zones: says what the zone's digest hashes to.
+/// Periodic message between relays of different zones, with the version of the zone's digest.
 struct ZoneSummary {
   NodeId sender{};
   std::string zone;
   std::uint64_t digest_version = 0;
   Offset configuration_next{};
   std::vector<PendingWork> pending;
-  std::vector<RunnerId> leaving;  ///< Runners of the zone that leave.
+  std::vector<RunnerId> leaving;  ///< Leaving runners of the zone.
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -95,7 +95,7 @@
   }
 };
 
-/// Members of one zone, sent when a receiver's version differs.
+/// Members of one zone, sent when the receiver's version differs.
 struct ZoneDigest {
   std::string zone;
   std::uint64_t version = 0;
@@ -118,7 +118,7 @@
   }
 };
 
-/// A relay's answer inside its zone: the zones it reaches, and the digests that the asker lacks.
+/// A relay's response within its zone: the zones it reaches and the digests the requester lacks.
 struct ForeignView {
   std::vector<ZoneVersion> reachable;
   std::vector<ZoneDigest> digests;
@@ -129,7 +129,8 @@
   }
 };
 
-/// Asks for the foreign digests that differ from `known`, or for the receiver's own zone's digest.
+/// Requests the digests of other zones that differ from `known`, or the digest of the receiver's
+/// own zone.
 struct DigestRequest {
   std::vector<ZoneVersion> known;
   bool own_zone_only = false;
@@ -140,7 +141,7 @@
   }
 };
 
-/// Asks a peer for configuration entries from an offset on.
+/// Requests configuration entries starting at `from`.
 struct ConfigurationPull {
   Offset from{};
 
@@ -161,7 +162,7 @@
   }
 };
 
-/// The whole folded configuration, for a peer whose next offset is too old for entries.
+/// The complete configuration state, for a peer whose next offset is older than the entries kept.
 struct ConfigurationSnapshot {
   std::string state;
 
--- a/src/core/membership_views.cc
+++ b/src/core/membership_views.cc
@@ -1,4 +1,4 @@
-// What other systems ask of membership, and the lists derived for them.
+// Queries on the membership and the derived lists of ready members.
 #include <algorithm>
 #include <mutex>
 #include <set>
@@ -8,7 +8,7 @@
 namespace stoathold {
 namespace {
 
-bool usable(const MemberRecord& record) {
+bool is_ready(const MemberRecord& record) {
   return record.state == MemberState::kReady;
 }
 
@@ -18,7 +18,7 @@
   const std::scoped_lock lock(mutex_);
   if (self_.state == state) return;
   self_.state = state;
-  heartbeat_news_ = true;
+  expedite_heartbeat_ = true;
   refresh_ready();
 }
 
@@ -26,17 +26,17 @@
   const std::scoped_lock lock(mutex_);
   if (self_.log_reachable == reachable) return;
   self_.log_reachable = reachable;
-  heartbeat_news_ = true;
+  expedite_heartbeat_ = true;
   refresh_ready();
 }
 
-void Membership::hurry() {
+void Membership::expedite_sends() {
   const std::scoped_lock lock(mutex_);
-  heartbeat_news_ = true;
-  summary_news_ = true;
+  expedite_heartbeat_ = true;
+  expedite_summary_ = true;
 }
 
-void Membership::send_now() {
+void Membership::make_sends_due() {
   const std::scoped_lock lock(mutex_);
   next_heartbeat_ = TimePoint{};
   next_summary_ = TimePoint{};
@@ -49,20 +49,20 @@
 
 void Membership::refresh_ready() {
   ++version_;
-  summary_news_ = true;
+  expedite_summary_ = true;
   ready_.clear();
   ready_in_zone_.clear();
   addresses_.clear();
-  if (usable(self_)) ready_in_zone_.push_back(self_.id);
+  if (is_ready(self_)) ready_in_zone_.push_back(self_.id);
   for (const auto& [id, entry] : zone_members_) {
     addresses_[id] = entry.record.peer_address;
-    if (usable(entry.record) && entry.liveness == Liveness::kAlive) ready_in_zone_.push_back(id);
+    if (is_ready(entry.record) && entry.liveness == Liveness::kAlive) ready_in_zone_.push_back(id);
   }
   ready_ = ready_in_zone_;
   for (const auto& [name, zone] : foreign_zones_) {
     for (const auto& member : zone.members) {
       addresses_[member.id] = member.peer_address;
-      if (zone.reachable && usable(member)) ready_.push_back(member.id);
+      if (zone.reachable && is_ready(member)) ready_.push_back(member.id);
     }
   }
   std::sort(ready_.begin(), ready_.end());
@@ -71,17 +71,18 @@
 }
 
 void Membership::refresh_shard_members() {
-  without_log_.clear();
-  const auto note = [this](const MemberRecord& record) {
-    if (!record.log_reachable) without_log_.insert(record.id);
+  log_unreachable_members_.clear();
+  const auto record_log_reachability = [this](const MemberRecord& record) {
+    if (!record.log_reachable) log_unreachable_members_.insert(record.id);
   };
-  note(self_);
-  for (const auto& [id, entry] : zone_members_) note(entry.record);
+  record_log_reachability(self_);
+  for (const auto& [id, entry] : zone_members_) record_log_reachability(entry.record);
   for (const auto& [name, zone] : foreign_zones_) {
-    for (const auto& member : zone.members) note(member);
+    for (const auto& member : zone.members) record_log_reachability(member);
   }
   shard_members_ = ready_;
-  std::erase_if(shard_members_, [this](NodeId id) { return without_log_.contains(id); });
+  std::erase_if(shard_members_,
+                [this](NodeId id) { return log_unreachable_members_.contains(id); });
   if (shard_members_.empty()) shard_members_ = ready_;
   shard_version_ = 0;
   for (const NodeId id : shard_members_) shard_version_ = mix_hashes(shard_version_, value_of(id));
@@ -94,7 +95,7 @@
 
 bool Membership::reaches_log(NodeId node) const {
   const std::scoped_lock lock(mutex_);
-  return !without_log_.contains(node);
+  return !log_unreachable_members_.contains(node);
 }
 
 std::vector<NodeId> Membership::ready_zone_members() const {
@@ -109,7 +110,7 @@
   const auto found = foreign_zones_.find(zone);
   if (found == foreign_zones_.end() || !found->second.reachable) return ready;
   for (const auto& member : found->second.members) {
-    if (usable(member)) ready.push_back(member.id);
+    if (is_ready(member)) ready.push_back(member.id);
   }
   return ready;
 }
@@ -136,8 +137,8 @@
 }
 
 bool Membership::may_finish_work(NodeId node) const {
-  const Liveness judged = liveness(node);
-  return judged == Liveness::kAlive || judged == Liveness::kSuspect;
+  const Liveness member_liveness = liveness(node);
+  return member_liveness == Liveness::kAlive || member_liveness == Liveness::kSuspect;
 }
 
 std::vector<std::pair<MemberRecord, Liveness>> Membership::list() const {
--- a/src/core/node_core.cc
+++ b/src/core/node_core.cc
@@ -14,13 +14,13 @@
 constexpr std::uint64_t kRunnerSalt = 2;
 constexpr std::uint64_t kOnlineSalt = 3;
 constexpr std::uint64_t kBatchSalt = 4;
-constexpr int kAdvertisementLifePeriods = 4;
+constexpr int kAdvertisedWorkLifetimePeriods = 4;
 
-void keep_first(std::vector<PendingWork>& work, std::size_t limit) {
+void limit_entries(std::vector<PendingWork>& work, std::size_t limit) {
   if (work.size() > limit) work.resize(limit);
 }
 
-MemberRecord member_of(const NodeIdentity& identity) {
+MemberRecord make_member_record(const NodeIdentity& identity) {
   return {node_id_from_name(identity.name),
           identity.incarnation,
           identity.name,
@@ -36,7 +36,7 @@
     : knobs_(knobs),
       identity_(std::move(identity)),
       id_(node_id_from_name(identity_.name)),
-      membership_(member_of(identity_), knobs_),
+      membership_(make_member_record(identity_), knobs_),
       configuration_(id_, identity_.incarnation, knobs_),
       runners_(identity_.region, identity_.zone, mix_hashes(seed, kRunnerSalt), knobs_),
       caller_(mix_hashes(seed, kCallerSalt), knobs_, membership_),
@@ -76,7 +76,7 @@
   }
 }
 
-std::vector<PendingWork> NodeCore::own_pending() const {
+std::vector<PendingWork> NodeCore::own_pending_work() const {
   std::vector<PendingWork> work;
   for (const auto& count : shards_.pending()) {
     if (work.size() >= knobs_.advertised_work_limit) break;
@@ -85,23 +85,24 @@
   return work;
 }
 
-std::vector<PendingWork> NodeCore::known_pending(TimePoint now) const {
-  std::vector<PendingWork> work = own_pending();
+std::vector<PendingWork> NodeCore::known_pending_work(TimePoint now) const {
+  std::vector<PendingWork> work = own_pending_work();
   const std::scoped_lock lock(mutex_);
-  for (const auto& [node, advertised] : advertised_) {
-    if (now - advertised.heard > knobs_.heartbeat_period * kAdvertisementLifePeriods) continue;
+  for (const auto& [node, advertised] : advertised_work_) {
+    if (now - advertised.received_at > knobs_.heartbeat_period * kAdvertisedWorkLifetimePeriods)
+      continue;
     work.insert(work.end(), advertised.work.begin(), advertised.work.end());
   }
-  const auto ranked = [](const PendingWork& left, const PendingWork& right) {
+  const auto precedes = [](const PendingWork& left, const PendingWork& right) {
     return std::tie(right.weight, left.owner, left.service) <
            std::tie(left.weight, right.owner, right.service);
   };
-  std::sort(work.begin(), work.end(), ranked);
-  const auto same = [](const PendingWork& left, const PendingWork& right) {
+  std::sort(work.begin(), work.end(), precedes);
+  const auto is_same_work = [](const PendingWork& left, const PendingWork& right) {
     return left.owner == right.owner && left.service == right.service &&
            left.weight == right.weight;
   };
-  work.erase(std::unique(work.begin(), work.end(), same), work.end());
+  work.erase(std::unique(work.begin(), work.end(), is_same_work), work.end());
   return work;
 }
 
@@ -109,73 +110,73 @@
   Heartbeat heartbeat;
   heartbeat.configuration_next = configuration_.next_offset();
   heartbeat.foreign_view = membership_.foreign_view_if_relay();
-  if (heartbeat.foreign_view != 0) heartbeat.foreign_leaving = foreign_from_summaries(now);
+  if (heartbeat.foreign_view != 0) heartbeat.foreign_leaving = foreign_leaving_runners(now);
   heartbeat.loads = batch_.owned_loads();
-  heartbeat.pending = heartbeat.foreign_view == 0 ? own_pending() : known_pending(now);
-  keep_first(heartbeat.pending, knobs_.advertised_work_limit);
+  heartbeat.pending = heartbeat.foreign_view == 0 ? own_pending_work() : known_pending_work(now);
+  limit_entries(heartbeat.pending, knobs_.advertised_work_limit);
   return heartbeat;
 }
 
 ZoneSummary NodeCore::summary_prototype(TimePoint now) const {
   ZoneSummary summary;
   summary.configuration_next = configuration_.next_offset();
-  summary.pending = known_pending(now);
+  summary.pending = known_pending_work(now);
   summary.leaving = runners_.leaving_in_zone();
-  keep_first(summary.pending, knobs_.advertised_work_limit);
+  limit_entries(summary.pending, knobs_.advertised_work_limit);
   return summary;
 }
 
-std::vector<RunnerId> NodeCore::foreign_from_summaries(TimePoint now) const {
+std::vector<RunnerId> NodeCore::foreign_leaving_runners(TimePoint now) const {
   const std::scoped_lock lock(mutex_);
   std::set<RunnerId> leaving;
   for (const auto& [zone, report] : foreign_leaving_) {
-    if (now - report.heard > knobs_.zone_silent_after) continue;
+    if (now - report.received_at > knobs_.zone_unreachable_timeout) continue;
     leaving.insert(report.runners.begin(), report.runners.end());
   }
   return {leaving.begin(), leaving.end()};
 }
 
-void NodeCore::hurry_on_leaving(TimePoint now) {
+void NodeCore::expedite_leaving_updates(TimePoint now) {
   const std::uint64_t version = runners_.version();
   {
     const std::scoped_lock lock(mutex_);
-    const bool silent = foreign_leaving_.empty() || now < next_leaving_check_;
-    if (version == leaving_version_ && silent) return;
-    leaving_version_ = version;
-    next_leaving_check_ = now + knobs_.news_interval;
+    const bool skip_foreign_check = foreign_leaving_.empty() || now < next_leaving_check_;
+    if (version == checked_runners_version_ && skip_foreign_check) return;
+    checked_runners_version_ = version;
+    next_leaving_check_ = now + knobs_.min_early_send_interval;
   }
   const auto in_zone = runners_.leaving_in_zone();
-  const auto elsewhere = foreign_from_summaries(now);
+  const auto foreign = foreign_leaving_runners(now);
   {
     const std::scoped_lock lock(mutex_);
-    if (in_zone == announced_leaving_ && elsewhere == announced_elsewhere_) return;
-    announced_leaving_ = in_zone;
-    announced_elsewhere_ = elsewhere;
+    if (in_zone == announced_zone_leaving_ && foreign == announced_foreign_leaving_) return;
+    announced_zone_leaving_ = in_zone;
+    announced_foreign_leaving_ = foreign;
   }
-  membership_.hurry();
+  membership_.expedite_sends();
 }
 
-void NodeCore::note_log_answer(LogStatus status, TimePoint now) {
+void NodeCore::record_log_status(LogStatus status, TimePoint now) {
   const std::scoped_lock lock(mutex_);
   if (status == LogStatus::kOk) {
-    log_silent_since_.reset();
-  } else if (!log_silent_since_) {
-    log_silent_since_ = now;
+    log_unanswered_since_.reset();
+  } else if (!log_unanswered_since_) {
+    log_unanswered_since_ = now;
   }
 }
 
 bool NodeCore::log_reachable(TimePoint now) const {
   const std::scoped_lock lock(mutex_);
-  return !log_silent_since_ || now - *log_silent_since_ < knobs_.log_down_after;
+  return !log_unanswered_since_ || now - *log_unanswered_since_ < knobs_.log_down_after;
 }
 
 void NodeCore::tick(TimePoint now, Effects& effects) {
   update_self_state();
   const bool log_reached = log_reachable(now);
   membership_.set_self_log_reachable(log_reached);
-  hurry_on_leaving(now);
+  expedite_leaving_updates(now);
   membership_.tick(now);
-  // Without the log a node goes on asking, to learn when it is back.
+  // While the log is unreachable, every node polls it, to detect when it is available again.
   configuration_.tick(membership_.is_relay() || !log_reached, now, effects);
   const WeightLookup weight_of = [this](const std::string& name) {
     const auto found = configuration_.priority_class(name);
@@ -183,7 +184,7 @@
   };
   shards_.tick(weight_of, now, effects);
   caller_.tick(now, effects);
-  batch_.tick(known_pending(now), now, effects);
+  batch_.tick(known_pending_work(now), now, effects);
   online_.tick(now, effects);
   if (membership_.heartbeat_due(now)) {
     membership_.send_heartbeats(heartbeat_prototype(now), now, effects);
@@ -191,11 +192,11 @@
   if (membership_.summary_due(now)) {
     membership_.send_summaries(summary_prototype(now), now, effects);
   }
-  settle(now, effects);
+  process_internal_effects(now, effects);
 }
 
-void NodeCore::settle(TimePoint now, Effects& effects) {
-  deliver_to_self(now, effects);
+void NodeCore::process_internal_effects(TimePoint now, Effects& effects) {
+  deliver_local_messages(now, effects);
   for (const auto& finished : caller_.take_finished()) {
     if (online_.on_call_finished(finished, now, effects)) continue;
     effects.push_back(AnswerCall{finished.call, finished.answer});
@@ -203,7 +204,7 @@
   notify_runner_owners(now, effects);
 }
 
-void NodeCore::deliver_to_self(TimePoint now, Effects& effects) {
+void NodeCore::deliver_local_messages(TimePoint now, Effects& effects) {
   for (std::size_t i = 0; i < effects.size(); ++i) {
     auto* send = std::get_if<SendToPeer>(&effects[i]);
     if (send == nullptr || send->target != id_) continue;
@@ -247,32 +248,32 @@
 
 void NodeCore::on_log_appended(const std::string& stream, std::uint64_t token, LogStatus status,
                                Offset offset, TimePoint now, Effects& effects) {
-  note_log_answer(status, now);
+  record_log_status(status, now);
   if (stream == kConfigurationStream) {
     configuration_.on_log_appended(token, status, offset, now, effects);
   } else {
     shards_.on_log_appended(stream, token, status, offset, now, effects);
   }
-  settle(now, effects);
+  process_internal_effects(now, effects);
 }
 
 void NodeCore::on_log_read(const std::string& stream, std::uint64_t token, LogStatus status,
                            const std::vector<LogEntry>& entries, Offset head, TimePoint now,
                            Effects& effects) {
-  note_log_answer(status, now);
+  record_log_status(status, now);
   if (stream == kConfigurationStream) {
     configuration_.on_log_read(token, status, entries, head, now, effects);
   } else {
     shards_.on_log_read(stream, token, status, entries, head, now, effects);
   }
-  settle(now, effects);
+  process_internal_effects(now, effects);
 }
 
 void NodeCore::on_log_head(const std::string& stream, std::uint64_t token, LogStatus status,
                            Offset head, TimePoint now, Effects& effects) {
-  note_log_answer(status, now);
+  record_log_status(status, now);
   shards_.on_log_head(stream, token, status, head, effects);
-  settle(now, effects);
+  process_internal_effects(now, effects);
 }
 
 void NodeCore::on_stream_ended(const StreamEnd& end, TimePoint now, Effects& effects) {
@@ -281,29 +282,29 @@
   } else {
     batch_.on_stream_ended(end, now, effects);
   }
-  settle(now, effects);
+  process_internal_effects(now, effects);
 }
 
 void NodeCore::on_load_report(const RunnerLoad& load, TimePoint now, Effects& effects) {
   runners_.on_load(load, now);
   batch_.on_load_report(load, now, effects);
-  settle(now, effects);
+  process_internal_effects(now, effects);
 }
 
 void NodeCore::admit(const OnlineRequest& request, TimePoint now, Effects& effects) {
   online_.admit(request, now, effects);
-  settle(now, effects);
+  process_internal_effects(now, effects);
 }
 
-void NodeCore::abandon(RequestId request, TimePoint now, Effects& effects) {
-  online_.abandon(request, effects);
-  settle(now, effects);
+void NodeCore::cancel(RequestId request, TimePoint now, Effects& effects) {
+  online_.cancel(request, effects);
+  process_internal_effects(now, effects);
 }
 
 std::uint64_t NodeCore::call_job(JobId job, ShardRequest request, TimePoint now, Effects& effects) {
   const ShardId shard = shard_of(value_of(job), knobs_);
   const auto call = caller_.start(shard, std::move(request), knobs_.call_timeout, now, effects);
-  settle(now, effects);
+  process_internal_effects(now, effects);
   return call;
 }
 
@@ -326,7 +327,7 @@
   batch_.set_draining(effects);
   shards_.set_draining();
   update_self_state();
-  settle(now, effects);
+  process_internal_effects(now, effects);
 }
 
 bool NodeCore::drained() const {
@@ -341,10 +342,10 @@
     left_ = true;
   }
   update_self_state();
-  membership_.send_now();
+  membership_.make_sends_due();
   membership_.send_heartbeats(heartbeat_prototype(now), now, effects);
   membership_.send_summaries(summary_prototype(now), now, effects);
-  deliver_to_self(now, effects);
+  deliver_local_messages(now, effects);
 }
 
 }  // namespace stoathold
--- a/src/core/node_core.h
+++ b/src/core/node_core.h
@@ -1,5 +1,5 @@
 /// @file
-/// One node's decisions: the systems, wired together. Deterministic; no sockets, no clock.
+/// Combines the core components of a node. Deterministic: uses neither sockets nor a clock.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 
 namespace stoathold {
 
-/// Who a node is; fixed at start.
+/// Identity of a node process, fixed at start.
 struct NodeIdentity {
   std::string name;
   std::string region;
@@ -31,16 +31,16 @@
   Incarnation incarnation{};
 };
 
-/// Why a node is or is not ready.
+/// Readiness of a node and the reason for it.
 struct Readiness {
   bool ready = false;
   std::string reason;
 };
 
-/// The core of a node: takes typed events and the time, gives effects.
+/// The core of a node: a state machine that turns events and the current time into effects.
 ///
-/// The same class runs in a node process and under the fuzzer.
-/// Thread safe: every table has its own ranked lock, and no lock is held when a method returns.
+/// The same class runs in a node process and in the fuzzer.
+/// Thread safe: every component has its own ranked lock, and no lock is held when a method returns.
 ///
 /// Usage:
 /// @code
@@ -55,7 +55,7 @@
   NodeCore(const NodeCore&) = delete;
   NodeCore& operator=(const NodeCore&) = delete;
 
-  /// Runs every system whose time has come. Call about every 20 ms.
+  /// Runs all periodic work that is due. Called about every 20 ms.
   void tick(TimePoint now, Effects& effects);
   void on_peer_message(NodeId sender, const PeerMessage& message, TimePoint now, Effects& effects);
   void on_machine_list(const std::vector<ListedNode>& nodes,
@@ -68,22 +68,25 @@
   void on_log_head(const std::string& stream, std::uint64_t token, LogStatus status, Offset head,
                    TimePoint now, Effects& effects);
   void on_stream_ended(const StreamEnd& end, TimePoint now, Effects& effects);
-  /// Takes a load polled from a runner that this node owns.
+  /// Applies a load report polled from a runner that this node owns.
   void on_load_report(const RunnerLoad& load, TimePoint now, Effects& effects);
 
-  /// Admits an online request; it ends with a `FinishRequest` effect.
+  /// Admits an online request, which ends with a `FinishRequest` effect.
   void admit(const OnlineRequest& request, TimePoint now, Effects& effects);
-  void abandon(RequestId request, TimePoint now, Effects& effects);
-  /// Calls the owner of a job's shard; ends with an `AnswerCall` effect for the returned call.
+  /// Cancels the online request of a caller that disconnected.
+  void cancel(RequestId request, TimePoint now, Effects& effects);
+  /// Calls the owner of a job's shard; an `AnswerCall` effect with the returned call identifier
+  /// delivers the response.
   std::uint64_t call_job(JobId job, ShardRequest request, TimePoint now, Effects& effects);
-  /// Changes a resource; ends with an `AnswerChange` effect for the returned call.
+  /// Changes a resource; an `AnswerChange` effect with the returned call identifier delivers the
+  /// result.
   std::uint64_t change_resource(ResourceChange change, TimePoint now, Effects& effects);
 
-  /// Begins a planned stop: no new work; what is in progress goes on.
+  /// Starts a planned shutdown: accepts no new work and finishes the work in progress.
   void start_drain(TimePoint now, Effects& effects);
-  /// Whether the planned stop is complete: nothing in progress, no lease held.
+  /// Whether the planned shutdown is complete: no work is in progress and no lease is held.
   [[nodiscard]] bool drained() const;
-  /// Tells the peers that this node exits. The last call before the process ends.
+  /// Announces to peers that this node exits. Must be the last call before the process ends.
   void leave(TimePoint now, Effects& effects);
 
   [[nodiscard]] Readiness readiness() const;
@@ -116,31 +119,32 @@
   void handle(NodeId sender, const BatchStop& message, TimePoint now, Effects& effects);
   void handle(NodeId sender, const OnlineNotice& message, TimePoint now, Effects& effects);
 
-  void settle(TimePoint now, Effects& effects);
-  void deliver_to_self(TimePoint now, Effects& effects);
+  /// Delivers messages to this node, finished calls and online start notices.
+  void process_internal_effects(TimePoint now, Effects& effects);
+  void deliver_local_messages(TimePoint now, Effects& effects);
   void notify_runner_owners(TimePoint now, Effects& effects);
   void notify_runner_owner(RunnerId runner, TimePoint now, Effects& effects);
   void pull_configuration(NodeId peer, Offset peer_next, TimePoint now, Effects& effects);
   void update_self_state();
-  void note_log_answer(LogStatus status, TimePoint now);
-  /// Whether the log has answered lately, or has not been asked in vain.
+  void record_log_status(LogStatus status, TimePoint now);
+  /// Returns false once log calls have gone unanswered for `Knobs::log_down_timeout`.
   [[nodiscard]] bool log_reachable(TimePoint now) const;
-  /// Spreads news of leaving runners at once.
-  void hurry_on_leaving(TimePoint now);
-  [[nodiscard]] std::vector<RunnerId> foreign_from_summaries(TimePoint now) const;
-  [[nodiscard]] std::vector<PendingWork> own_pending() const;
-  [[nodiscard]] std::vector<PendingWork> known_pending(TimePoint now) const;
+  /// Expedites heartbeats and summaries when the set of leaving runners changes.
+  void expedite_leaving_updates(TimePoint now);
+  [[nodiscard]] std::vector<RunnerId> foreign_leaving_runners(TimePoint now) const;
+  [[nodiscard]] std::vector<PendingWork> own_pending_work() const;
+  [[nodiscard]] std::vector<PendingWork> known_pending_work(TimePoint now) const;
   [[nodiscard]] Heartbeat heartbeat_prototype(TimePoint now) const;
   [[nodiscard]] ZoneSummary summary_prototype(TimePoint now) const;
 
-  /// A zone's leaving runners, as its relays last said.
+  /// Leaving runners of another zone, from the latest summary of its relays.
   struct ZoneLeaving {
     std::vector<RunnerId> runners;
-    TimePoint heard;
+    TimePoint received_at;
   };
   struct AdvertisedWork {
     std::vector<PendingWork> work;
-    TimePoint heard;
+    TimePoint received_at;
   };
 
   const Knobs knobs_;
@@ -155,13 +159,13 @@
   ShardSystem shards_;
 
   mutable RankedMutex mutex_{LockRank::kServer};
-  std::unordered_map<NodeId, AdvertisedWork> advertised_;
+  std::unordered_map<NodeId, AdvertisedWork> advertised_work_;
   std::map<std::string, ZoneLeaving> foreign_leaving_;
-  std::optional<TimePoint> log_silent_since_;
-  std::uint64_t leaving_version_ = 0;
+  std::optional<TimePoint> log_unanswered_since_;
+  std::uint64_t checked_runners_version_ = 0;
   TimePoint next_leaving_check_;
-  std::vector<RunnerId> announced_leaving_;
-  std::vector<RunnerId> announced_elsewhere_;
+  std::vector<RunnerId> announced_zone_leaving_;
+  std::vector<RunnerId> announced_foreign_leaving_;
   std::uint64_t last_request_ = 0;
   std::uint64_t last_change_ = 0;
   bool draining_ = false;
--- a/src/core/node_core_messages.cc
+++ b/src/core/node_core_messages.cc
@@ -1,4 +1,4 @@
-// One handler for each message of the peer protocol.
+// Handlers of the peer protocol's messages.
 #include <algorithm>
 #include <mutex>
 #include <set>
@@ -12,7 +12,7 @@
 void NodeCore::on_peer_message(NodeId sender, const PeerMessage& message, TimePoint now,
                                Effects& effects) {
   std::visit([&](const auto& typed) { handle(sender, typed, now, effects); }, message);
-  settle(now, effects);
+  process_internal_effects(now, effects);
 }
 
 void NodeCore::pull_configuration(NodeId peer, Offset peer_next, TimePoint now, Effects& effects) {
@@ -28,7 +28,7 @@
   }
   {
     const std::scoped_lock lock(mutex_);
-    advertised_[sender] = {message.pending, now};
+    advertised_work_[sender] = {message.pending, now};
   }
   pull_configuration(sender, message.configuration_next, now, effects);
 }
@@ -39,7 +39,7 @@
   {
     const std::scoped_lock lock(mutex_);
     foreign_leaving_[message.zone] = {message.leaving, now};
-    advertised_[sender] = {message.pending, now};
+    advertised_work_[sender] = {message.pending, now};
   }
   pull_configuration(sender, message.configuration_next, now, effects);
 }
--- a/src/core/online_requests.cc
+++ b/src/core/online_requests.cc
@@ -27,7 +27,7 @@
   return "none";
 }
 
-StreamVerdict verdict_of(StreamOutcome outcome) {
+StreamVerdict to_stream_verdict(StreamOutcome outcome) {
   if (outcome == StreamOutcome::kCompleted) return StreamVerdict::kSucceeded;
   return outcome == StreamOutcome::kCancelled ? StreamVerdict::kNeutral : StreamVerdict::kFailed;
 }
@@ -63,12 +63,12 @@
       caller_(caller),
       random_(seed) {}
 
-ErrorCode OnlineRequests::check_tenant(const OnlineRequest& request, TimePoint now) {
+ErrorCode OnlineRequests::check_tenant_limits(const OnlineRequest& request, TimePoint now) {
   const TenantSpecification limits = configuration_.tenant(request.tenant);
   auto& tenant = tenants_[request.tenant];
-  if (!tenant.seen) {
-    tenant.seen = true;
-    tenant.retry_tokens = knobs_.retry_reserve;
+  if (!tenant.initialized) {
+    tenant.initialized = true;
+    tenant.retry_tokens = knobs_.retry_budget_capacity;
     tenant.rate_tokens = limits.requests_per_second;
     tenant.rate_updated = now;
   }
@@ -76,9 +76,9 @@
     return ErrorCode::kTenantLimit;
   }
   if (limits.requests_per_second == 0) return ErrorCode::kNone;
-  const double earned = to_seconds(now - tenant.rate_updated) * limits.requests_per_second;
+  const double refilled = to_seconds(now - tenant.rate_updated) * limits.requests_per_second;
   tenant.rate_updated = now;
-  tenant.rate_tokens = std::min<double>(tenant.rate_tokens + earned, limits.requests_per_second);
+  tenant.rate_tokens = std::min<double>(tenant.rate_tokens + refilled, limits.requests_per_second);
   if (tenant.rate_tokens < 1.0) return ErrorCode::kTenantLimit;
   tenant.rate_tokens -= 1.0;
   return ErrorCode::kNone;
@@ -87,25 +87,27 @@
 void OnlineRequests::admit(const OnlineRequest& request, TimePoint now, Effects& effects) {
   const std::scoped_lock lock(mutex_);
   if (draining_) {
-    refuse(request.id, ErrorCode::kDraining, Step::kAdmit, Execution::kNotRun, "", effects);
+    finish_with_error(request.id, ErrorCode::kDraining, Step::kAdmit, Execution::kNotRun, "",
+                      effects);
     return;
   }
   const auto service = configuration_.service(request.service);
   if (!service) {
     const auto code = configuration_.current() ? ErrorCode::kUnknownModel : ErrorCode::kNotReady;
-    refuse(request.id, code, Step::kAdmit, Execution::kNotRun, "", effects);
+    finish_with_error(request.id, code, Step::kAdmit, Execution::kNotRun, "", effects);
     return;
   }
-  const ErrorCode limited = check_tenant(request, now);
-  if (limited != ErrorCode::kNone) {
-    refuse(request.id, limited, Step::kAdmit, Execution::kNotRun, "", effects);
+  const ErrorCode limit_error = check_tenant_limits(request, now);
+  if (limit_error != ErrorCode::kNone) {
+    finish_with_error(request.id, limit_error, Step::kAdmit, Execution::kNotRun, "", effects);
     return;
   }
   ++counters_.admitted;
   auto& tenant = tenants_[request.tenant];
   ++tenant.open;
-  tenant.retry_tokens = std::min(tenant.retry_tokens + knobs_.retry_ratio, knobs_.retry_reserve);
-  RequestRow row;
+  tenant.retry_tokens =
+      std::min(tenant.retry_tokens + knobs_.retry_budget_ratio, knobs_.retry_budget_capacity);
+  OpenRequest row;
   row.request = request;
   row.tokens = request.delivered_tokens;
   row.service = service->specification;
@@ -114,21 +116,21 @@
   row.history.id = request.id;
   row.history.service = request.service;
   auto& stored = requests_[request.id] = std::move(row);
-  const bool keyed = request.unsafe_to_repeat && !request.idempotency_key.empty();
-  if (keyed && policy_switches().claim_before_dispatch) {
+  const bool has_idempotency_key = request.unsafe_to_repeat && !request.idempotency_key.empty();
+  if (has_idempotency_key && policy_switches().claim_before_dispatch) {
     claim(stored, now, effects);
   } else {
     dispatch(stored, now, effects);
   }
 }
 
-void OnlineRequests::claim(RequestRow& row, TimePoint now, Effects& effects) {
+void OnlineRequests::claim(OpenRequest& row, TimePoint now, Effects& effects) {
   const auto& request = row.request;
   const std::uint64_t key = stable_hash(request.idempotency_key, stable_hash(request.tenant));
   row.phase = Phase::kClaiming;
   const ClaimRequestCall call{key, value_of(request.id)};
-  const Duration patience = std::min(knobs_.call_timeout, row.deadline - now);
-  row.claim_call = caller_.start(shard_of(key, knobs_), call, patience, now, effects);
+  const Duration claim_timeout = std::min(knobs_.call_timeout, row.deadline - now);
+  row.claim_call = caller_.start(shard_of(key, knobs_), call, claim_timeout, now, effects);
   claims_[row.claim_call] = request.id;
   row.history.lines.emplace_back("claims its key in the log before any dispatch");
 }
@@ -149,15 +151,16 @@
     } else {
       const Execution execution =
           policy_switches().honest_not_run ? Execution::kUnknown : Execution::kNotRun;
-      refuse(id, ErrorCode::kDuplicateKey, Step::kClaim, execution, "", effects);
+      finish_with_error(id, ErrorCode::kDuplicateKey, Step::kClaim, execution, "", effects);
     }
     return true;
   }
-  refuse(id, ErrorCode::kLogUnavailable, Step::kClaim, Execution::kNotRun, "log", effects);
+  finish_with_error(id, ErrorCode::kLogUnavailable, Step::kClaim, Execution::kNotRun, "log",
+                    effects);
   return true;
 }
 
-void OnlineRequests::dispatch(RequestRow& row, TimePoint now, Effects& effects) {
+void OnlineRequests::dispatch(OpenRequest& row, TimePoint now, Effects& effects) {
   const RequestId id = row.request.id;
   if (now >= row.deadline) {
     end_with_error(id, ErrorCode::kDeadlineExceeded, Step::kDispatch, effects);
@@ -205,7 +208,7 @@
   const RequestId id = found->second;
   streams_.erase(found);
   auto& row = requests_.at(id);
-  runners_.on_stream_ended(row.runner, verdict_of(end.outcome), now);
+  runners_.on_stream_ended(row.runner, to_stream_verdict(end.outcome), now);
   row.tokens = std::max(row.tokens, end.tokens);
   row.history.lines.push_back("stream " + describe_outcome(end.outcome) + " at token " +
                               std::to_string(end.tokens));
@@ -220,17 +223,17 @@
   return true;
 }
 
-void OnlineRequests::retry_or_end(RequestRow& row, const StreamEnd& end, TimePoint now,
+void OnlineRequests::retry_or_end(OpenRequest& row, const StreamEnd& end, TimePoint now,
                                   Effects& effects) {
   const RequestId id = row.request.id;
-  const bool never_left = end.outcome == StreamOutcome::kNotSent;
-  if (never_left) --row.dispatches;
-  const bool may_repeat =
-      !row.request.unsafe_to_repeat || never_left || !policy_switches().no_retry_after_unknown;
-  const bool silent = end.outcome == StreamOutcome::kBroken;
-  const auto code = silent ? ErrorCode::kEngineTimeout : ErrorCode::kEngineFailed;
+  const bool not_sent = end.outcome == StreamOutcome::kNotSent;
+  if (not_sent) --row.dispatches;
+  const bool may_retry =
+      !row.request.unsafe_to_repeat || not_sent || !policy_switches().no_retry_after_unknown;
+  const bool is_broken = end.outcome == StreamOutcome::kBroken;
+  const auto code = is_broken ? ErrorCode::kEngineTimeout : ErrorCode::kEngineFailed;
   row.failed_runners.push_back(row.runner);
-  if (!may_repeat || row.failed_runners.size() >= knobs_.max_dispatches) {
+  if (!may_retry || row.failed_runners.size() >= knobs_.max_dispatches) {
     end_with_error(id, code, Step::kStream, effects);
     return;
   }
@@ -250,17 +253,17 @@
 void OnlineRequests::tick(TimePoint now, Effects& effects) {
   const std::scoped_lock lock(mutex_);
   std::vector<RequestId> due;
-  std::vector<RequestId> late;
+  std::vector<RequestId> expired;
   for (auto& [id, row] : requests_) {
     if (now >= row.deadline) {
-      late.push_back(id);
+      expired.push_back(id);
     } else if (row.phase == Phase::kWaiting && now >= row.retry_at) {
       due.push_back(id);
     }
   }
   std::sort(due.begin(), due.end());
-  std::sort(late.begin(), late.end());
-  for (const RequestId id : late) {
+  std::sort(expired.begin(), expired.end());
+  for (const RequestId id : expired) {
     const auto& row = requests_.at(id);
     if (row.phase == Phase::kStreaming) effects.push_back(CancelStream{row.stream});
     end_with_error(id, ErrorCode::kDeadlineExceeded, Step::kStream, effects);
@@ -268,7 +271,7 @@
   for (const RequestId id : due) dispatch(requests_.at(id), now, effects);
 }
 
-void OnlineRequests::abandon(RequestId request, Effects& effects) {
+void OnlineRequests::cancel(RequestId request, Effects& effects) {
   const std::scoped_lock lock(mutex_);
   const auto found = requests_.find(request);
   if (found == requests_.end()) return;
@@ -278,7 +281,7 @@
   end_with_error(request, ErrorCode::kCancelled, Step::kStream, effects);
 }
 
-Execution OnlineRequests::execution_of(const RequestRow& row) const {
+Execution OnlineRequests::execution_status(const OpenRequest& row) const {
   if (!policy_switches().honest_not_run) return Execution::kNotRun;
   return row.dispatches == 0 ? Execution::kNotRun : Execution::kUnknown;
 }
@@ -289,19 +292,20 @@
   if (row.dispatches > 0) {
     if (const auto runner = runners_.find(row.runner)) peer = runner->listed.name;
   }
-  refuse(id, code, step, execution_of(row), std::move(peer), effects);
+  finish_with_error(id, code, step, execution_status(row), std::move(peer), effects);
 }
 
-Duration OnlineRequests::retry_after_of(ErrorCode code) {
+Duration OnlineRequests::choose_retry_after(ErrorCode code) {
   if (code == ErrorCode::kUnknownModel || code == ErrorCode::kDuplicateKey) return Duration{0};
   const Duration base = code == ErrorCode::kDraining ? kDrainRetryAfter : kBusyRetryAfter;
   const auto jitter = random_.below(static_cast<std::uint64_t>(base.count()));
   return base + Duration{static_cast<Duration::rep>(jitter)};
 }
 
-void OnlineRequests::refuse(RequestId id, ErrorCode code, Step step, Execution execution,
-                            std::string peer, Effects& effects) {
-  Error error{make_error_code(code), step, std::move(peer), "", execution, retry_after_of(code)};
+void OnlineRequests::finish_with_error(RequestId id, ErrorCode code, Step step, Execution execution,
+                                       std::string peer, Effects& effects) {
+  Error error{make_error_code(code),   step, std::move(peer), "", execution,
+              choose_retry_after(code)};
   if (execution == Execution::kNotRun) {
     ++counters_.refused;
   } else {
--- a/src/core/online_requests.h
+++ b/src/core/online_requests.h
@@ -1,5 +1,6 @@
 /// @file
-/// Online requests at the node that received them: admission, claims, dispatch, retries, the end.
+/// Online requests at the node that received them: admission, idempotency claims, dispatch, retries
+/// and completion.
 #pragma once
 
 #include <cstdint>
@@ -19,19 +20,19 @@
 
 namespace stoathold {
 
-/// An online request as the server hands it to the core. Its body stays with the server.
+/// An online request as passed from the server to the core. The server keeps the request body.
 struct OnlineRequest {
   RequestId id{};
   std::string tenant;
   std::string service;
-  std::uint64_t prefix = 0;  ///< Hash of the prompt's head.
+  std::uint64_t prefix = 0;  ///< Hash of the prompt's first part, for prefix affinity.
   bool unsafe_to_repeat = false;
-  std::string idempotency_key;         ///< Only with `unsafe_to_repeat`; empty: none.
-  Duration deadline{0};                ///< From admission; 0: the default.
-  std::uint32_t delivered_tokens = 0;  ///< Tokens the caller has already, when it resumes.
+  std::string idempotency_key;         ///< Used only with `unsafe_to_repeat`; empty if none.
+  Duration deadline{0};                ///< Relative to admission; 0 selects the default.
+  std::uint32_t delivered_tokens = 0;  ///< Tokens that a resuming caller already has.
 };
 
-/// One line of a request's history, for `explain`.
+/// Recorded steps of a request, shown by the `explain` command.
 struct RequestHistory {
   RequestId id{};
   std::string service;
@@ -48,28 +49,30 @@
   std::uint64_t retries = 0;
 };
 
-/// The online request table and the system that runs over it. Thread safe
+/// Admits online requests, dispatches them to runners and retries failed ones. Thread safe
 /// (`LockRank::kOnlineRequests`).
 ///
-/// A request that is safe to repeat resumes on another runner behind the last token delivered, as
-/// long as its tenant's retry budget lasts. One that is unsafe is dispatched at most once; with a
-/// key, only after its claim stands first in the log. A refusal says `not_run` only if no dispatch
-/// was made.
+/// A request that is safe to repeat resumes on another runner after the last delivered token while
+/// its tenant's retry budget lasts. A request that is unsafe to repeat is sent to a runner at most
+/// once and, if it has an idempotency key, only after its claim is the first for that key in the
+/// log. An error reports `not_run` only if the request was never dispatched.
 class OnlineRequests {
  public:
   OnlineRequests(std::uint64_t seed, const Knobs& knobs, const ConfigurationSystem& configuration,
                  RunnerTable& runners, ShardCaller& caller);
 
+  /// Admits and dispatches a request, or completes it with an error.
   void admit(const OnlineRequest& request, TimePoint now, Effects& effects);
-  /// Takes the end of a stream; returns false if the stream is not an online one.
+  /// Handles the end of a stream; returns false if it is not an online stream.
   bool on_stream_ended(const StreamEnd& end, TimePoint now, Effects& effects);
-  /// Takes the answer to a claim; returns false if the call was not one of this system's.
+  /// Handles the result of a claim; returns false if the call is not an open claim.
   bool on_call_finished(const FinishedCall& finished, TimePoint now, Effects& effects);
-  /// The caller went away: stops its stream.
-  void abandon(RequestId request, Effects& effects);
-  /// Sends what waits for its back-off and ends what is past its deadline.
+  /// Cancels the request of a caller that disconnected, and its stream.
+  void cancel(RequestId request, Effects& effects);
+  /// Dispatches requests whose retry back-off has elapsed and fails those past their deadline.
   void tick(TimePoint now, Effects& effects);
 
+  /// Rejects new requests from now on, for a planned shutdown.
   void set_draining() {
     const std::scoped_lock lock(mutex_);
     draining_ = true;
@@ -81,7 +84,7 @@
  private:
   enum class Phase : std::uint8_t { kClaiming, kWaiting, kStreaming };
 
-  struct RequestRow {
+  struct OpenRequest {
     OnlineRequest request;
     ServiceSpecification service;
     Phase phase = Phase::kWaiting;
@@ -96,24 +99,24 @@
     Duration backoff{0};
     RequestHistory history;
   };
-  struct TenantRow {
+  struct TenantState {
     std::uint32_t open = 0;
     double retry_tokens = 0;
     double rate_tokens = 0;
     TimePoint rate_updated;
-    bool seen = false;
+    bool initialized = false;
   };
 
-  [[nodiscard]] ErrorCode check_tenant(const OnlineRequest& request, TimePoint now);
-  void refuse(RequestId id, ErrorCode code, Step step, Execution execution, std::string peer,
-              Effects& effects);
-  void claim(RequestRow& row, TimePoint now, Effects& effects);
-  void dispatch(RequestRow& row, TimePoint now, Effects& effects);
-  void retry_or_end(RequestRow& row, const StreamEnd& end, TimePoint now, Effects& effects);
+  [[nodiscard]] ErrorCode check_tenant_limits(const OnlineRequest& request, TimePoint now);
+  void finish_with_error(RequestId id, ErrorCode code, Step step, Execution execution,
+                         std::string peer, Effects& effects);
+  void claim(OpenRequest& row, TimePoint now, Effects& effects);
+  void dispatch(OpenRequest& row, TimePoint now, Effects& effects);
+  void retry_or_end(OpenRequest& row, const StreamEnd& end, TimePoint now, Effects& effects);
   void end_with_error(RequestId id, ErrorCode code, Step step, Effects& effects);
   void finish(RequestId id, bool succeeded, Error error, Effects& effects);
-  [[nodiscard]] Execution execution_of(const RequestRow& row) const;
-  [[nodiscard]] Duration retry_after_of(ErrorCode code);
+  [[nodiscard]] Execution execution_status(const OpenRequest& row) const;
+  [[nodiscard]] Duration choose_retry_after(ErrorCode code);
 
   const Knobs& knobs_;
   const ConfigurationSystem& configuration_;
@@ -121,17 +124,17 @@
   ShardCaller& caller_;
   mutable RankedMutex mutex_{LockRank::kOnlineRequests};
   Random random_;
-  std::unordered_map<RequestId, RequestRow> requests_;
+  std::unordered_map<RequestId, OpenRequest> requests_;
   std::unordered_map<StreamId, RequestId> streams_;
   std::unordered_map<std::uint64_t, RequestId> claims_;
-  std::unordered_map<std::string, TenantRow> tenants_;
+  std::unordered_map<std::string, TenantState> tenants_;
   std::deque<RequestHistory> history_;
   OnlineCounters counters_;
   std::uint64_t last_stream_ = 0;
   bool draining_ = false;
 };
 
-/// Returns whether a stream identity belongs to an online request.
+/// Returns whether a stream identifier belongs to an online request.
 bool is_online_stream(StreamId stream);
 
 }  // namespace stoathold
