--- a/src/core/codec.h
+++ b/src/core/codec.h
@@ -1,6 +1,7 @@
 /// @file
-/// Encoding of any cereal-serialisable value; malformed input is an error value, not an exception.
-/// Include in implementation files only: cereal's headers are heavy.
+/// Encoding and decoding of values that cereal can serialise. Malformed input yields an error
+/// value, not an exception. Include in implementation files only: cereal's headers slow down
+/// compilation.
 #pragma once
 
 #include <cereal/archives/binary.hpp>
@@ -21,9 +22,9 @@
 namespace stoathold {
 
 /// Stream buffer that appends to a string owned by the caller.
-class StringSink : public std::streambuf {
+class StringStreamBuffer : public std::streambuf {
  public:
-  explicit StringSink(std::string& target) : target_(target) {}
+  explicit StringStreamBuffer(std::string& target) : target_(target) {}
 
  protected:
   int_type overflow(int_type character) override {
@@ -39,9 +40,9 @@
   std::string& target_;
 };
 
-/// Reads what `cereal::BinaryOutputArchive` wrote (little-endian machines), and trusts nothing: a
-/// container's size may not exceed the bytes left, so a damaged size cannot make it allocate more
-/// than a small multiple of the message. Bytes are owned by the caller.
+/// Reads the output of `cereal::BinaryOutputArchive` (little-endian machines) from untrusted bytes.
+/// The size of a container must not exceed the number of remaining bytes, so a corrupt size cannot
+/// cause an allocation larger than a small multiple of the message. The caller owns the bytes.
 class BoundedInputArchive
     : public cereal::InputArchive<BoundedInputArchive, cereal::AllowEmptyClassElision> {
  public:
@@ -60,7 +61,7 @@
   std::string_view bytes_;
 };
 
-// cereal finds these by argument-dependent look-up; their names are cereal's.
+// cereal finds these functions by argument-dependent lookup and prescribes their names.
 template <class Number>
 std::enable_if_t<std::is_arithmetic_v<Number>> CEREAL_LOAD_FUNCTION_NAME(
     BoundedInputArchive& archive, Number& number) {
@@ -90,18 +91,18 @@
   archive.read(data.data, static_cast<std::size_t>(data.size));
 }
 
-/// Encodes `value` in cereal's binary form.
+/// Encodes `value` in cereal's binary format.
 template <typename Value>
 std::string encode_value(const Value& value) {
   std::string bytes;
-  StringSink sink(bytes);
-  std::ostream stream(&sink);
+  StringStreamBuffer buffer(bytes);
+  std::ostream stream(&buffer);
   cereal::BinaryOutputArchive archive(stream);
   archive(value);
   return bytes;
 }
 
-/// Decodes what `encode_value` wrote.
+/// Decodes the output of `encode_value`.
 /// @return false if the bytes are malformed, truncated, or longer than the value.
 template <typename Value>
 bool decode_value(const std::string& bytes, Value& value) {
@@ -120,7 +121,8 @@
 
 namespace cereal::traits::detail {
 
-/// Pairs the archives, so that cereal accepts types with only a `serialize` for both.
+/// Pairs the input and output archives, so that cereal accepts types with a single `serialize`
+/// function.
 template <>
 struct get_output_from_input<stoathold::BoundedInputArchive> {
   using type = BinaryOutputArchive;
--- a/src/core/configuration_state.cc
+++ b/src/core/configuration_state.cc
@@ -7,28 +7,29 @@
 
 namespace stoathold {
 
-ChangeFate ConfigurationState::judge(const ConfigurationEntry& entry) const {
-  if (fate_of(entry.id) && policy_switches().drop_repeated_appends) return ChangeFate::kRepeated;
+ApplyResult ConfigurationState::evaluate(const ConfigurationEntry& entry) const {
+  if (result_of(entry.id) && policy_switches().drop_repeated_appends)
+    return ApplyResult::kDuplicate;
   const auto& change = entry.change;
   const auto* present = find(change.kind, change.name);
   const Offset version = present == nullptr ? Offset{} : present->version;
   if (version != change.expected_version && policy_switches().conflict_on_version) {
-    return ChangeFate::kConflict;
+    return ApplyResult::kConflict;
   }
-  if (change.deleted) return present == nullptr ? ChangeFate::kConflict : ChangeFate::kAccepted;
-  return ChangeFate::kAccepted;
+  if (change.deleted) return present == nullptr ? ApplyResult::kConflict : ApplyResult::kAccepted;
+  return ApplyResult::kAccepted;
 }
 
-ChangeFate ConfigurationState::apply(Offset offset, const ConfigurationEntry& entry) {
+ApplyResult ConfigurationState::apply(Offset offset, const ConfigurationEntry& entry) {
   if (offset < next_offset_ && policy_switches().configuration_strictly_upward) {
-    return ChangeFate::kRepeated;
+    return ApplyResult::kDuplicate;
   }
   next_offset_ = next_of(offset);
-  const ChangeFate fate = judge(entry);
-  if (fate == ChangeFate::kRepeated) return fate;
-  recent_.push_back({entry.id, fate, offset});
-  if (recent_.size() > kRememberedChanges) recent_.erase(recent_.begin());
-  if (fate != ChangeFate::kAccepted) return fate;
+  const ApplyResult result = evaluate(entry);
+  if (result == ApplyResult::kDuplicate) return result;
+  recent_changes_.push_back({entry.id, result, offset});
+  if (recent_changes_.size() > kMaxRecentChanges) recent_changes_.erase(recent_changes_.begin());
+  if (result != ApplyResult::kAccepted) return result;
   const auto& change = entry.change;
   const Key key{change.kind, change.name};
   if (change.deleted) {
@@ -36,7 +37,7 @@
   } else {
     resources_[key] = {change.kind, change.name, offset, change.body};
   }
-  return fate;
+  return result;
 }
 
 void ConfigurationState::skip(Offset offset) {
@@ -48,11 +49,12 @@
   return found == resources_.end() ? nullptr : &found->second;
 }
 
-std::optional<std::pair<ChangeFate, Offset>> ConfigurationState::fate_of(const AppendId& id) const {
+std::optional<std::pair<ApplyResult, Offset>> ConfigurationState::result_of(
+    const AppendId& id) const {
   const auto matches = [&](const RecentChange& change) { return change.id == id; };
-  const auto found = std::find_if(recent_.rbegin(), recent_.rend(), matches);
-  if (found == recent_.rend()) return std::nullopt;
-  return std::pair{found->fate, found->offset};
+  const auto found = std::find_if(recent_changes_.rbegin(), recent_changes_.rend(), matches);
+  if (found == recent_changes_.rend()) return std::nullopt;
+  return std::pair{found->result, found->offset};
 }
 
 std::string encode_configuration(const ConfigurationState& state) {
--- a/src/core/configuration_state.h
+++ b/src/core/configuration_state.h
@@ -1,5 +1,5 @@
 /// @file
-/// The fold of the `configuration` stream: which resources are in force.
+/// State machine of the `configuration` stream: the resources currently in effect.
 #pragma once
 
 #include <cstdint>
@@ -14,57 +14,60 @@
 
 namespace stoathold {
 
-/// What became of a change when it was folded.
-enum class ChangeFate : std::uint8_t { kAccepted, kConflict, kRepeated };
+/// Result of applying a configuration change.
+enum class ApplyResult : std::uint8_t { kAccepted, kConflict, kDuplicate };
 
-/// State of the configuration, as the pure fold of its stream up to `next_offset() - 1`.
+/// Configuration state, a pure function of the stream's entries up to `next_offset() - 1`.
 /// Not thread safe; guarded by `LockRank::kConfiguration`.
 class ConfigurationState {
  public:
   using Key = std::pair<std::string, std::string>;  ///< Kind and name.
 
-  /// Folds the entry at `offset`. Offsets only go upward: an older one is ignored as repeated.
-  ChangeFate apply(Offset offset, const ConfigurationEntry& entry);
-  /// Skips an offset whose bytes cannot be decoded.
+  /// Applies the entry at `offset`. An offset that is not newer than the last one applied is
+  /// ignored as a duplicate.
+  ApplyResult apply(Offset offset, const ConfigurationEntry& entry);
+  /// Skips an offset whose entry cannot be decoded.
   void skip(Offset offset);
 
   [[nodiscard]] Offset next_offset() const { return next_offset_; }
   [[nodiscard]] const std::map<Key, Resource>& resources() const { return resources_; }
-  /// Returns the resource in force, or null.
+  /// Returns the resource in effect, or null.
   [[nodiscard]] const Resource* find(std::string_view kind, std::string_view name) const;
-  /// Returns the fate of a recently folded change, if it was folded.
-  [[nodiscard]] std::optional<std::pair<ChangeFate, Offset>> fate_of(const AppendId& id) const;
+  /// Returns the result and offset of a recently applied change, or nothing if it is not among
+  /// them.
+  [[nodiscard]] std::optional<std::pair<ApplyResult, Offset>> result_of(const AppendId& id) const;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(next_offset_, resources_, recent_);
+    archive(next_offset_, resources_, recent_changes_);
   }
 
  private:
   struct RecentChange {
     AppendId id;
-    ChangeFate fate{};
+    ApplyResult result{};
     Offset offset{};
 
     template <class Archive>
     void serialize(Archive& archive) {
-      archive(id, fate, offset);
+      archive(id, result, offset);
     }
   };
 
-  ChangeFate judge(const ConfigurationEntry& entry) const;
+  ApplyResult evaluate(const ConfigurationEntry& entry) const;
 
   Offset next_offset_{1};
   std::map<Key, Resource> resources_;
-  std::vector<RecentChange> recent_;  ///< Oldest first; bounded by `kRememberedChanges`.
+  std::vector<RecentChange> recent_changes_;  ///< Oldest first; bounded by `kMaxRecentChanges`.
 };
 
-/// How many changes are remembered to recognise a repeated append; over a day's worth at full size.
-inline constexpr std::size_t kRememberedChanges = 4096;
+/// Number of recent changes kept to detect duplicate appends: more than a day of changes in a fleet
+/// of full size.
+inline constexpr std::size_t kMaxRecentChanges = 4096;
 
-/// Encodes the whole state, for a node that starts and copies it from a peer.
+/// Encodes the whole state, for a starting node that copies it from a peer.
 std::string encode_configuration(const ConfigurationState& state);
-/// Decodes it; returns false on malformed bytes.
+/// Decodes the state; returns false on malformed bytes.
 bool decode_configuration(const std::string& bytes, ConfigurationState& state);
 
 }  // namespace stoathold
--- a/src/core/configuration_system.cc
+++ b/src/core/configuration_system.cc
@@ -8,7 +8,7 @@
 namespace stoathold {
 namespace {
 
-constexpr std::uint32_t kReadLimit = 256;
+constexpr std::uint32_t kMaxEntriesPerRead = 256;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
   OpenChange open;
   open.id = {self_, incarnation_, ++last_sequence_};
   open.bytes = encode(ConfigurationEntry{open.id, std::move(change)});
-  open.give_up_at = now + knobs_.call_timeout;
+  open.deadline = now + knobs_.call_timeout;
   auto& stored = changes_[call] = std::move(open);
   send_change(stored, now, effects);
 }
@@ -37,7 +37,7 @@
   read_sent_at_ = now;
   next_poll_ = now + knobs_.configuration_poll_period;
   effects.push_back(
-      ReadFromLog{kConfigurationStream, state_.next_offset(), kReadLimit, read_token_});
+      ReadFromLog{kConfigurationStream, state_.next_offset(), kMaxEntriesPerRead, read_token_});
 }
 
 void ConfigurationSystem::tick(bool read_log, TimePoint now, Effects& effects) {
@@ -47,7 +47,7 @@
   if (wants_read && read_token_ == 0 && now >= next_poll_) send_read(now, effects);
   for (auto position = changes_.begin(); position != changes_.end();) {
     auto& change = position->second;
-    if (now >= change.give_up_at) {
+    if (now >= change.deadline) {
       Error error{make_error_code(ErrorCode::kLogUnavailable),
                   Step::kAppend,
                   "log",
@@ -62,13 +62,13 @@
     if (now - change.sent_at >= knobs_.log_retry_period) send_change(change, now, effects);
     ++position;
   }
-  judge_current(now);
+  update_current(now);
 }
 
-void ConfigurationSystem::judge_current(TimePoint now) {
-  if (current_ || !first_peer_at_) return;
-  const bool heard_enough = now - *first_peer_at_ >= knobs_.heartbeat_period * 2;
-  if (heard_enough && state_.next_offset() >= newest_peer_next_) current_ = true;
+void ConfigurationSystem::update_current(TimePoint now) {
+  if (current_ || !first_peer_offset_time_) return;
+  const bool wait_elapsed = now - *first_peer_offset_time_ >= knobs_.heartbeat_period * 2;
+  if (wait_elapsed && state_.next_offset() >= highest_peer_offset_) current_ = true;
 }
 
 void ConfigurationSystem::on_log_appended(std::uint64_t token, LogStatus status, Offset offset,
@@ -85,7 +85,7 @@
   if (read_token_ == 0) {
     send_read(now, effects);
   } else {
-    read_again_ = true;
+    reread_requested_ = true;
   }
 }
 
@@ -96,41 +96,41 @@
   if (token != read_token_ || read_token_ == 0) return;
   read_token_ = 0;
   if (status != LogStatus::kOk) return;
-  for (const auto& entry : entries) fold(entry.offset, entry.bytes);
+  for (const auto& entry : entries) apply_entry(entry.offset, entry.bytes);
   const bool at_head = state_.next_offset() >= head;
-  if (at_head && state_.next_offset() >= newest_peer_next_) current_ = true;
-  after_fold(effects);
-  if (!at_head || read_again_) {
-    read_again_ = false;
+  if (at_head && state_.next_offset() >= highest_peer_offset_) current_ = true;
+  on_entries_applied(effects);
+  if (!at_head || reread_requested_) {
+    reread_requested_ = false;
     send_read(now, effects);
   }
 }
 
-void ConfigurationSystem::fold(Offset offset, const std::string& bytes) {
-  const bool upward = policy_switches().configuration_strictly_upward;
-  if (upward && offset != state_.next_offset()) return;
+void ConfigurationSystem::apply_entry(Offset offset, const std::string& bytes) {
+  const bool strictly_ordered = policy_switches().configuration_strictly_upward;
+  if (strictly_ordered && offset != state_.next_offset()) return;
   ConfigurationEntry entry;
   if (!decode(bytes, entry)) {
     state_.skip(offset);
     return;
   }
   state_.apply(offset, entry);
-  tail_.push_back({offset, bytes});
-  if (tail_.size() > knobs_.configuration_tail) tail_.pop_front();
+  recent_entries_.push_back({offset, bytes});
+  if (recent_entries_.size() > knobs_.configuration_tail) recent_entries_.pop_front();
 }
 
-void ConfigurationSystem::after_fold(Effects& effects) {
+void ConfigurationSystem::on_entries_applied(Effects& effects) {
   refresh_views();
   for (auto position = changes_.begin(); position != changes_.end();) {
-    const auto fate = state_.fate_of(position->second.id);
-    if (!fate) {
+    const auto result = state_.result_of(position->second.id);
+    if (!result) {
       ++position;
       continue;
     }
     AnswerChange answer;
     answer.call = position->first;
-    answer.accepted = fate->first == ChangeFate::kAccepted;
-    answer.version = fate->second;
+    answer.accepted = result->first == ApplyResult::kAccepted;
+    answer.version = result->second;
     if (!answer.accepted) {
       answer.error = {
           make_error_code(ErrorCode::kConflict),          Step::kApply,       "",
@@ -159,8 +159,8 @@
 std::optional<ConfigurationPull> ConfigurationSystem::on_peer_offset(Offset peer_next,
                                                                      TimePoint now) {
   const std::scoped_lock lock(mutex_);
-  if (!first_peer_at_) first_peer_at_ = now;
-  newest_peer_next_ = std::max(newest_peer_next_, peer_next);
+  if (!first_peer_offset_time_) first_peer_offset_time_ = now;
+  highest_peer_offset_ = std::max(highest_peer_offset_, peer_next);
   if (peer_next <= state_.next_offset()) return std::nullopt;
   return ConfigurationPull{state_.next_offset()};
 }
@@ -168,13 +168,14 @@
 std::vector<PeerMessage> ConfigurationSystem::on_pull(const ConfigurationPull& pull) const {
   const std::scoped_lock lock(mutex_);
   if (pull.from >= state_.next_offset()) return {};
-  const bool in_tail =
-      !tail_.empty() && tail_.front().offset <= pull.from &&
-      value_of(tail_.back().offset) - value_of(tail_.front().offset) + 1 == tail_.size();
-  if (!in_tail) return {ConfigurationSnapshot{encode_configuration(state_)}};
+  const bool covers_request =
+      !recent_entries_.empty() && recent_entries_.front().offset <= pull.from &&
+      value_of(recent_entries_.back().offset) - value_of(recent_entries_.front().offset) + 1 ==
+          recent_entries_.size();
+  if (!covers_request) return {ConfigurationSnapshot{encode_configuration(state_)}};
   ConfigurationEntries entries;
   entries.first = pull.from;
-  for (const auto& entry : tail_) {
+  for (const auto& entry : recent_entries_) {
     if (entry.offset >= pull.from) entries.entries.push_back(entry.bytes);
   }
   return {std::move(entries)};
@@ -185,11 +186,11 @@
   const std::scoped_lock lock(mutex_);
   Offset offset = entries.first;
   for (const auto& bytes : entries.entries) {
-    fold(offset, bytes);
+    apply_entry(offset, bytes);
     offset = next_of(offset);
   }
-  after_fold(effects);
-  judge_current(now);
+  on_entries_applied(effects);
+  update_current(now);
 }
 
 void ConfigurationSystem::on_snapshot(const ConfigurationSnapshot& snapshot, TimePoint now,
@@ -200,9 +201,9 @@
   const bool newer = received.next_offset() > state_.next_offset();
   if (!newer && policy_switches().configuration_strictly_upward) return;
   state_ = std::move(received);
-  tail_.clear();
-  after_fold(effects);
-  judge_current(now);
+  recent_entries_.clear();
+  on_entries_applied(effects);
+  update_current(now);
 }
 
 Offset ConfigurationSystem::next_offset() const {
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -1,6 +1,6 @@
 /// @file
-/// What the core asks its driver to do. Effects are values: the core itself does no input or
-/// output.
+/// Actions that the core requests from its driver, and the results that the driver reports. Effects
+/// are values: the core itself performs no input or output.
 #pragma once
 
 #include <cstdint>
@@ -14,21 +14,21 @@
 
 namespace stoathold {
 
-/// Send a message to a peer; may be lost.
+/// Sends a message to a peer; the message may be lost.
 struct SendToPeer {
   NodeId target{};
   std::string address;  ///< `ip:port`.
   PeerMessage message;
 };
 
-/// Append bytes to a stream of the log. Answered by `NodeCore::on_log_appended`.
+/// Appends bytes to a stream of the log. `NodeCore::on_log_appended` receives the result.
 struct AppendToLog {
   std::string stream;
   std::string bytes;
-  std::uint64_t token = 0;  ///< Echoed in the answer.
+  std::uint64_t token = 0;  ///< Echoed in the result.
 };
 
-/// Read entries from `from` on. Answered by `NodeCore::on_log_read`.
+/// Reads entries starting at `from`. `NodeCore::on_log_read` receives the result.
 struct ReadFromLog {
   std::string stream;
   Offset from{};
@@ -36,16 +36,16 @@
   std::uint64_t token = 0;
 };
 
-/// Ask for the offset the next append would get. Answered by `NodeCore::on_log_head`.
+/// Reads the offset that the next append will get. `NodeCore::on_log_head` receives the result.
 struct ReadLogHead {
   std::string stream;
   std::uint64_t token = 0;
 };
 
-/// Whose work a stream does: engines rank online streams before batch streams.
+/// Class of a stream; engines give online streams priority over batch streams.
 enum class StreamClass : std::uint8_t { kOnline, kBatch };
 
-/// Open a stream on an engine. Its end is answered by `NodeCore::on_stream_ended`.
+/// Opens a stream on an engine. `NodeCore::on_stream_ended` receives its end.
 struct OpenStream {
   StreamId stream{};
   RunnerId runner{};
@@ -55,30 +55,30 @@
   std::string service;              ///< For batch streams.
   std::string prompt;               ///< For batch streams.
   std::uint32_t max_tokens = 0;     ///< For batch streams.
-  std::uint32_t resume_tokens = 0;  ///< Tokens already delivered; the engine goes on behind them.
+  std::uint32_t resume_tokens = 0;  ///< Tokens already delivered; the engine continues after them.
   std::string resume_text;          ///< For batch streams: the text of those tokens.
   Duration first_token_timeout{0};
 };
 
-/// Stop a stream on an engine; its end is still answered, with the progress made.
+/// Cancels a stream on an engine; its end is still reported, with the progress made.
 struct CancelStream {
   StreamId stream{};
 };
 
-/// Give an online request its final answer: a refusal, or its end after the last token.
+/// Completes an online request: successfully after its last token, or with an error.
 struct FinishRequest {
   RequestId request{};
   bool succeeded = false;
   Error error;
 };
 
-/// Answer a call that this node's own API made on a shard.
+/// Delivers the response to a shard call made through this node's API.
 struct AnswerCall {
   std::uint64_t call = 0;
   ShardAnswer answer;
 };
 
-/// Answer a resource change that this node's own API made.
+/// Delivers the result of a resource change made through this node's API.
 struct AnswerChange {
   std::uint64_t call = 0;
   bool accepted = false;
@@ -89,33 +89,33 @@
 using Effect = std::variant<SendToPeer, AppendToLog, ReadFromLog, ReadLogHead, OpenStream,
                             CancelStream, FinishRequest, AnswerCall, AnswerChange>;
 
-/// Effects in the order in which they are to be carried out.
+/// Effects, in the order in which they must be executed.
 using Effects = std::vector<Effect>;
 
-/// How a call to the platform's log ended.
+/// Result of a call to the platform's log.
 enum class LogStatus : std::uint8_t {
   kOk,
-  kUnknown,  ///< No answer: the effect may have taken place.
+  kUnknown,  ///< No response: the call may have taken effect.
 };
 
-/// How a stream on an engine ended.
+/// Outcome of a stream on an engine.
 enum class StreamOutcome : std::uint8_t {
   kCompleted,
-  kNotSent,    ///< The request never left this node (connection refused).
-  kRefused,    ///< The engine answered that it will not serve it.
-  kBroken,     ///< The stream broke off, or went silent, after it was sent.
+  kNotSent,    ///< The request was never sent (connection refused).
+  kRefused,    ///< The engine rejected the request.
+  kBroken,     ///< The stream failed or stalled after the request was sent.
   kCancelled,  ///< Stopped by `CancelStream`.
 };
 
-/// What a driver reports when a stream ended.
+/// End of a stream, as reported by the driver.
 struct StreamEnd {
   StreamId stream{};
   StreamOutcome outcome = StreamOutcome::kCompleted;
-  std::uint32_t tokens = 0;  ///< All tokens of the answer so far, with those resumed behind.
-  std::string text;          ///< For batch streams: their text, with what was resumed behind.
+  std::uint32_t tokens = 0;  ///< Tokens of the response so far, including the resumed ones.
+  std::string text;          ///< For batch streams: the text, including the resumed part.
 };
 
-/// One entry as read from the log.
+/// One entry read from the log.
 struct LogEntry {
   Offset offset{};
   std::string bytes;
--- a/src/core/log_records.h
+++ b/src/core/log_records.h
@@ -1,9 +1,9 @@
 /// @file
-/// Records that the system keeps on the platform's log, and their wire form (cereal).
+/// Records stored in the platform's log, and their encoding (cereal).
 ///
-/// Two kinds of streams: `configuration` holds `ConfigurationEntry`, and each job shard's stream
-/// holds `ShardEntry`. What the records mean is decided only by the folds
-/// (`configuration_state.h`, `shard_state.h`), in the order of the log.
+/// There are two kinds of streams: `configuration` holds `ConfigurationEntry`, and each job shard's
+/// stream holds `ShardEntry`. Only the state machines (`configuration_state.h`, `shard_state.h`)
+/// determine the effect of a record, by applying the entries in log order.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +15,9 @@
 
 namespace stoathold {
 
-/// Identity of one append. A writer numbers its appends to a stream without gaps and sends the next
-/// one only when the fate of the last is known, so a repeated append is recognised by its sequence.
+/// Identifies one append. A writer numbers its appends to a stream without gaps and sends the next
+/// one only when the outcome of the previous one is known, so its sequence number identifies a
+/// duplicate append.
 struct AppendId {
   NodeId writer{};
   Incarnation incarnation{};
@@ -30,7 +31,7 @@
   }
 };
 
-/// A change of one resource, made against `expected_version` (0: the resource must not exist).
+/// A change of one resource, conditional on `expected_version` (0: the resource must not exist).
 struct ResourceChange {
   std::string kind;
   std::string name;
@@ -57,7 +58,7 @@
 
 /// One prompt of a batch job.
 struct BatchItem {
-  std::string custom_id;  ///< The caller's name for the item; echoed in its result.
+  std::string custom_id;  ///< Identifier chosen by the caller; echoed in the result.
   std::string prompt;
   std::uint32_t max_tokens = 0;
 
@@ -67,7 +68,7 @@
   }
 };
 
-/// The answer to one item, identified by its index in the job.
+/// Result of one item, identified by its index in the job.
 struct ItemResult {
   std::uint32_t index = 0;
   std::string text;
@@ -79,7 +80,7 @@
   }
 };
 
-/// What a caller states about a job; stored in its commit record.
+/// Parameters of a job as set by the caller; stored in the job's commit record.
 struct JobSpecification {
   std::string tenant;
   std::string service;
@@ -92,7 +93,7 @@
   }
 };
 
-/// Claims the shard's lease. Granted only if the epoch in force is still `expected_epoch`.
+/// Claims the shard's lease. Granted only if the current epoch is still `expected_epoch`.
 struct LeaseClaimed {
   Epoch expected_epoch{};
 
@@ -102,19 +103,19 @@
   }
 };
 
-/// Keeps a lease visibly in use while its holder has nothing else to write.
+/// Renews a lease while its holder has nothing else to write.
 struct LeaseRenewed {
   template <class Archive>
   void serialize(Archive& /*archive*/) {}
 };
 
-/// Gives a lease up, so that the next owner need not wait.
+/// Releases a lease, so that the next owner need not wait for its timeout.
 struct LeaseReleased {
   template <class Archive>
   void serialize(Archive& /*archive*/) {}
 };
 
-/// A run of a job's items; `attempt` tells submissions of the same job apart.
+/// A contiguous run of a job's items; `attempt` distinguishes submissions of the same job.
 struct ItemsSubmitted {
   JobId job{};
   std::uint64_t attempt = 0;
@@ -127,7 +128,8 @@
   }
 };
 
-/// Accepts a job: from this record on it is durable. The first commit of a job counts.
+/// Accepts a job, which is durable from this record on. Only the first commit of a job takes
+/// effect.
 struct JobCommitted {
   JobId job{};
   std::uint64_t attempt = 0;
@@ -140,7 +142,7 @@
   }
 };
 
-/// Stops a job. Completions that stand after it are dropped.
+/// Cancels a job. Completions later in the log are ignored.
 struct JobCancelled {
   JobId job{};
 
@@ -150,7 +152,7 @@
   }
 };
 
-/// Results of items. For each item, the first result in the log is the item's result.
+/// Results of items. The first result of an item in the log takes effect.
 struct ItemsCompleted {
   JobId job{};
   std::vector<ItemResult> results;
@@ -161,10 +163,10 @@
   }
 };
 
-/// Claims the right to dispatch a request that is unsafe to repeat. The first claim wins.
+/// Claims the right to dispatch a request that is unsafe to repeat. The first claim of a key wins.
 struct RequestClaimed {
   std::uint64_t key = 0;       ///< Hash of the tenant and the caller's idempotency key.
-  std::uint64_t claimant = 0;  ///< Identity of the submission that claims it.
+  std::uint64_t claimant = 0;  ///< Identifier of the claiming submission.
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -176,7 +178,7 @@
 using ShardRecord = std::variant<LeaseClaimed, ItemsSubmitted, JobCommitted, JobCancelled,
                                  ItemsCompleted, RequestClaimed, LeaseRenewed, LeaseReleased>;
 
-/// One entry of a shard's stream: a group of records appended at once under one lease epoch.
+/// One entry of a shard's stream: records appended atomically under one lease epoch.
 struct ShardEntry {
   AppendId id;
   Epoch epoch{};
--- a/tests/core/codec_test.cc
+++ b/tests/core/codec_test.cc
@@ -17,14 +17,14 @@
   return {NodeId{1}, ShardCall{9, ShardId{2}, call}};
 }
 
-TEST(CodecTest, AnEnvelopeSurvivesTheWire) {
+TEST(CodecTest, EnvelopeRoundTrips) {
   PeerEnvelope decoded;
   ASSERT_TRUE(decode(encode(sample_envelope()), decoded));
   const auto& call = std::get<ShardCall>(decoded.message);
   EXPECT_EQ(std::get<SubmitJobCall>(call.request).items[1].prompt, "prompt b");
 }
 
-TEST(CodecTest, EveryTruncationIsRefused) {
+TEST(CodecTest, EveryTruncationIsRejected) {
   const std::string whole = encode(sample_envelope());
   PeerEnvelope decoded;
   for (std::size_t size = 0; size < whole.size(); ++size) {
@@ -33,7 +33,7 @@
   EXPECT_FALSE(decode(whole + "x", decoded)) << "trailing bytes";
 }
 
-TEST(CodecTest, ChangedBytesNeverCrash) {
+TEST(CodecTest, CorruptedBytesNeverCrash) {
   const std::string whole = encode(sample_envelope());
   Random random(42);
   for (int round = 0; round < kRounds; ++round) {
--- a/tests/core/configuration_state_test.cc
+++ b/tests/core/configuration_state_test.cc
@@ -11,39 +11,39 @@
   return {id, {"Tenant", "centre", Offset{expected}, deleted, std::move(body)}};
 }
 
-TEST(ConfigurationStateTest, OfRacingChangesTheFirstInTheLogWins) {
+TEST(ConfigurationStateTest, FirstOfConflictingChangesInLogOrderWins) {
   ConfigurationState state;
-  EXPECT_EQ(state.apply(Offset{1}, entry(1, 0, "{}")), ChangeFate::kAccepted);
-  EXPECT_EQ(state.apply(Offset{2}, entry(2, 1, R"({"max_concurrent":1})")), ChangeFate::kAccepted);
-  EXPECT_EQ(state.apply(Offset{3}, entry(3, 1, R"({"max_concurrent":2})")), ChangeFate::kConflict);
+  EXPECT_EQ(state.apply(Offset{1}, entry(1, 0, "{}")), ApplyResult::kAccepted);
+  EXPECT_EQ(state.apply(Offset{2}, entry(2, 1, R"({"max_concurrent":1})")), ApplyResult::kAccepted);
+  EXPECT_EQ(state.apply(Offset{3}, entry(3, 1, R"({"max_concurrent":2})")), ApplyResult::kConflict);
   EXPECT_EQ(state.find("Tenant", "centre")->version, Offset{2});
 }
 
-TEST(ConfigurationStateTest, ARepeatedCreateDoesNotRevertADelete) {
+TEST(ConfigurationStateTest, DuplicateCreateDoesNotRevertDelete) {
   ConfigurationState state;
   state.apply(Offset{1}, entry(1, 0, "{}"));
   state.apply(Offset{2}, entry(2, 1, "", true));
-  EXPECT_EQ(state.apply(Offset{3}, entry(1, 0, "{}")), ChangeFate::kRepeated);
+  EXPECT_EQ(state.apply(Offset{3}, entry(1, 0, "{}")), ApplyResult::kDuplicate);
   EXPECT_EQ(state.find("Tenant", "centre"), nullptr);
 }
 
-TEST(ConfigurationStateTest, AnOlderOffsetIsIgnored) {
+TEST(ConfigurationStateTest, OlderOffsetIsIgnored) {
   ConfigurationState state;
   state.apply(Offset{1}, entry(1, 0, "{}"));
   state.apply(Offset{2}, entry(2, 1, R"({"max_concurrent":1})"));
-  EXPECT_EQ(state.apply(Offset{1}, entry(9, 0, "{}")), ChangeFate::kRepeated);
+  EXPECT_EQ(state.apply(Offset{1}, entry(9, 0, "{}")), ApplyResult::kDuplicate);
   EXPECT_EQ(state.next_offset(), Offset{3});
 }
 
-TEST(ConfigurationStateTest, TheFateOfAChangeCanBeAskedFor) {
+TEST(ConfigurationStateTest, ResultOfAppliedChangeIsAvailable) {
   ConfigurationState state;
   const auto change = entry(1, 5, "{}");
-  EXPECT_FALSE(state.fate_of(change.id));
+  EXPECT_FALSE(state.result_of(change.id));
   state.apply(Offset{1}, change);
-  EXPECT_EQ(state.fate_of(change.id)->first, ChangeFate::kConflict);
+  EXPECT_EQ(state.result_of(change.id)->first, ApplyResult::kConflict);
 }
 
-TEST(ConfigurationStateTest, TheWholeStateCanBeCopied) {
+TEST(ConfigurationStateTest, EncodedStateRoundTrips) {
   ConfigurationState state;
   state.apply(Offset{1}, entry(1, 0, "{}"));
   ConfigurationState copy;
--- a/tests/core/configuration_system_test.cc
+++ b/tests/core/configuration_system_test.cc
@@ -12,7 +12,7 @@
     return encode(ConfigurationEntry{{NodeId{9}, Incarnation{1}, sequence}, change});
   }
 
-  /// A peer that has applied entries 1 to `count`.
+  /// Returns the snapshot of a peer that has applied entries 1 to `count`.
   ConfigurationSnapshot snapshot(std::uint64_t count) {
     ConfigurationState state;
     for (std::uint64_t i = 1; i <= count; ++i) {
@@ -34,21 +34,21 @@
   ConfigurationSystem system_{NodeId{1}, Incarnation{1}, knobs_};
 };
 
-TEST_F(ConfigurationSystemTest, AnOlderSnapshotThatComesLateIsIgnored) {
+TEST_F(ConfigurationSystemTest, LateOlderSnapshotIsIgnored) {
   system_.on_snapshot(snapshot(5), now_, effects_);
   EXPECT_EQ(version(), 5U);
   system_.on_snapshot(snapshot(3), now_, effects_);
   EXPECT_EQ(version(), 5U);
 }
 
-TEST_F(ConfigurationSystemTest, EntriesBehindAGapWait) {
+TEST_F(ConfigurationSystemTest, EntriesAfterGapAreNotApplied) {
   system_.on_entries({Offset{2}, {bytes(2, 1)}}, now_, effects_);
   EXPECT_EQ(version(), 0U);
   system_.on_entries({Offset{1}, {bytes(1, 0), bytes(2, 1)}}, now_, effects_);
   EXPECT_EQ(version(), 2U);
 }
 
-TEST_F(ConfigurationSystemTest, AChangeWithLostAnswersIsAnsweredOnceItIsFolded) {
+TEST_F(ConfigurationSystemTest, ChangeWithLostAppendResponseCompletesOnceApplied) {
   system_.start_change(7, {"Tenant", "centre", Offset{}, false, "{}"}, now_, effects_);
   const auto append = std::get<AppendToLog>(effects_.back());
   effects_.clear();
@@ -61,7 +61,7 @@
   EXPECT_EQ(answer.version, Offset{1});
 }
 
-TEST_F(ConfigurationSystemTest, AChangeNeverAnsweredEndsAsUnknown) {
+TEST_F(ConfigurationSystemTest, ChangeWithoutResponseTimesOutAsUnknown) {
   system_.start_change(7, {"Tenant", "centre", Offset{}, false, "{}"}, now_, effects_);
   effects_.clear();
   system_.tick(false, now_ + knobs_.call_timeout, effects_);
@@ -70,7 +70,7 @@
   EXPECT_EQ(answer.error.execution, Execution::kUnknown);
 }
 
-TEST_F(ConfigurationSystemTest, WithNewsFromAPeerANodeIsNotCurrentUntilItHasThem) {
+TEST_F(ConfigurationSystemTest, NodeIsNotCurrentUntilItReachesPeerOffset) {
   EXPECT_TRUE(system_.on_peer_offset(Offset{3}, now_));
   system_.tick(false, now_ + knobs_.heartbeat_period * 3, effects_);
   EXPECT_FALSE(system_.current());
