--- a/src/core/shard_replica.cc
+++ b/src/core/shard_replica.cc
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr std::uint32_t kReadLimit = 256;
-/// A live but log-silent holder is replaced after this many times `lease_silence`.
+/// A live holder that stops writing to the log loses its lease after this multiple of
+/// `lease_silence`.
 constexpr int kSilentHolderFactor = 6;
 
 }  // namespace
@@ -25,22 +26,22 @@
 }
 
 bool ShardReplica::log_down(TimePoint now) const {
-  return in_flight_ && now - in_flight_->first_sent_at > knobs_.log_down_after;
+  return pending_append_ && now - pending_append_->first_sent_at > knobs_.log_down_after;
 }
 
 void ShardReplica::tick(const LeaseView& view, TimePoint now, Effects& effects) {
-  if (!view.self_is_rightful) rightful_since_.reset();
-  if (view.self_is_rightful && !rightful_since_) rightful_since_ = now;
+  if (!view.self_is_designated) designated_since_.reset();
+  if (view.self_is_designated && !designated_since_) designated_since_ = now;
   const bool holds = state_.holder() == self_ && phase_ == Phase::kFollowing;
   if (phase_ == Phase::kIdle) {
-    if (view.self_is_rightful) start_following(now, effects);
+    if (view.self_is_designated) start_following(now, effects);
     return;
   }
   if (phase_ != Phase::kFollowing) {
     if (now - read_sent_at_ > knobs_.log_retry_period * 2) start_following(now, effects);
     return;
   }
-  if (!view.self_is_rightful && !holds && !in_flight_) {
+  if (!view.self_is_designated && !holds && !pending_append_) {
     stop_following();
     return;
   }
@@ -48,12 +49,12 @@
   if (read_lost) read_token_ = 0;
   if (read_token_ == 0 && (now >= next_poll_ || read_lost)) send_read(now, effects);
   if (holds) {
-    hold_lease(view, now, effects);
+    maintain_lease(view, now, effects);
   } else {
-    consider_claim(view, now, effects);
+    claim_lease_if_allowed(view, now, effects);
   }
-  if (in_flight_ && now - in_flight_->sent_at >= knobs_.log_retry_period) {
-    send_in_flight(now, effects);
+  if (pending_append_ && now - pending_append_->sent_at >= knobs_.log_retry_period) {
+    send_pending_append(now, effects);
   }
 }
 
@@ -98,7 +99,7 @@
 
 std::uint64_t ShardReplica::request_barrier(TimePoint now, Effects& effects) {
   if (read_token_ != 0) {
-    read_again_ = true;
+    reread_requested_ = true;
     return started_reads_ + 1;
   }
   send_read(now, effects);
@@ -129,88 +130,89 @@
       ++replayed_entries_;
       replayed_bytes_ += entry.bytes.size();
     }
-    if (entry.offset == state_.next_offset()) fold(entry, now);
+    if (entry.offset == state_.next_offset()) apply_entry(entry, now);
   }
-  drop_if_fenced();
+  discard_if_fenced();
   const bool at_tail = state_.next_offset() >= head;
-  last_good_read_ = now;
+  last_successful_read_ = now;
   if (at_tail) {
     caught_up_ = true;
-    passed_reads_ = started_reads_;
+    last_tail_read_ = started_reads_;
   }
-  if (!at_tail || read_again_) {
-    read_again_ = false;
+  if (!at_tail || reread_requested_) {
+    reread_requested_ = false;
     send_read(now, effects);
   }
   flush(now, effects);
 }
 
-void ShardReplica::fold(const LogEntry& entry, TimePoint now) {
+void ShardReplica::apply_entry(const LogEntry& entry, TimePoint now) {
   ShardEntry decoded;
   if (!decode(entry.bytes, decoded)) {
     state_.skip(entry.offset);
     return;
   }
-  fold_decoded(entry.offset, decoded, now);
+  apply_decoded(entry.offset, decoded, now);
 }
 
-void ShardReplica::fold_decoded(Offset offset, const ShardEntry& entry, TimePoint now) {
-  const EntryFate fate = state_.apply(offset, entry);
+void ShardReplica::apply_decoded(Offset offset, const ShardEntry& entry, TimePoint now) {
+  const ApplyResult result = state_.apply(offset, entry);
   changed_ = true;
   ++entries_since_snapshot_;
   last_change_ = now;
   const bool own = entry.id.writer == self_.node && entry.id.incarnation == self_.incarnation;
-  if (own && in_flight_ && entry.id.sequence == in_flight_->sequence) resolve_in_flight(fate);
+  if (own && pending_append_ && entry.id.sequence == pending_append_->sequence)
+    resolve_pending_append(result);
 }
 
-void ShardReplica::resolve_in_flight(EntryFate fate) {
-  const bool applied = fate != EntryFate::kFenced;
-  for (const std::uint64_t operation : in_flight_->operations) {
+void ShardReplica::resolve_pending_append(ApplyResult result) {
+  const bool applied = result != ApplyResult::kFenced;
+  for (const std::uint64_t operation : pending_append_->operations) {
     resolved_.push_back({operation, applied});
   }
-  in_flight_.reset();
-  in_flight_records_ = 0;
+  pending_append_.reset();
+  pending_append_records_ = 0;
 }
 
-void ShardReplica::drop_if_fenced() {
+void ShardReplica::discard_if_fenced() {
   if (state_.holder() == self_) return;
   releasing_ = false;
   for (const auto& queued : queue_) {
     if (queued.operation != 0) resolved_.push_back({queued.operation, false});
   }
   queue_.clear();
-  if (!in_flight_) return;
-  const auto* claim = std::get_if<LeaseClaimed>(&in_flight_->entry.records.front());
-  const bool open_claim = claim != nullptr && claim->expected_epoch == state_.epoch();
-  if (!open_claim) resolve_in_flight(EntryFate::kFenced);
+  if (!pending_append_) return;
+  const auto* claim = std::get_if<LeaseClaimed>(&pending_append_->entry.records.front());
+  const bool claim_undecided = claim != nullptr && claim->expected_epoch == state_.epoch();
+  if (!claim_undecided) resolve_pending_append(ApplyResult::kFenced);
 }
 
 bool ShardReplica::may_claim(const LeaseView& view) const {
   const auto& holder = state_.holder();
   if (value_of(holder.node) == 0) return true;
   if (holder.node == self_.node) return true;
-  const Duration silence = last_good_read_ - last_change_;
+  const Duration silence = last_successful_read_ - last_change_;
   if (!view.holder_alive) return silence >= knobs_.lease_silence;
   return silence >= knobs_.lease_silence * kSilentHolderFactor;
 }
 
-void ShardReplica::consider_claim(const LeaseView& view, TimePoint now, Effects& effects) {
-  if (!view.self_is_rightful || !caught_up_ || in_flight_) return;
-  if (now - *rightful_since_ < knobs_.ownership_settle || !may_claim(view)) return;
-  begin_entry({LeaseClaimed{state_.epoch()}}, {}, state_.epoch(), now, effects);
+void ShardReplica::claim_lease_if_allowed(const LeaseView& view, TimePoint now, Effects& effects) {
+  if (!view.self_is_designated || !caught_up_ || pending_append_) return;
+  if (now - *designated_since_ < knobs_.ownership_settle || !may_claim(view)) return;
+  start_append({LeaseClaimed{state_.epoch()}}, {}, state_.epoch(), now, effects);
 }
 
-void ShardReplica::hold_lease(const LeaseView& view, TimePoint now, Effects& effects) {
+void ShardReplica::maintain_lease(const LeaseView& view, TimePoint now, Effects& effects) {
   if (releasing_) return;
-  const bool hand_over = view.draining || (!view.self_is_rightful && view.rightful_alive);
-  if (hand_over && !in_flight_ && queue_.empty()) {
+  const bool must_release = view.draining || (!view.self_is_designated && view.designated_alive);
+  if (must_release && !pending_append_ && queue_.empty()) {
     releasing_ = true;
-    begin_entry({LeaseReleased{}}, {}, state_.epoch(), now, effects);
+    start_append({LeaseReleased{}}, {}, state_.epoch(), now, effects);
     return;
   }
   write_snapshot_if_due(effects);
-  if (!in_flight_ && queue_.empty() && now - last_append_ >= knobs_.lease_renew_period) {
-    begin_entry({LeaseRenewed{}}, {}, state_.epoch(), now, effects);
+  if (!pending_append_ && queue_.empty() && now - last_append_ >= knobs_.lease_renew_period) {
+    start_append({LeaseRenewed{}}, {}, state_.epoch(), now, effects);
     return;
   }
   flush(now, effects);
@@ -230,7 +232,7 @@
 }
 
 void ShardReplica::flush(TimePoint now, Effects& effects) {
-  if (in_flight_ || queue_.empty() || !owns()) return;
+  if (pending_append_ || queue_.empty() || !owns()) return;
   std::vector<ShardRecord> records;
   std::vector<std::uint64_t> operations;
   while (!queue_.empty() && records.size() < knobs_.records_per_entry) {
@@ -243,13 +245,13 @@
     for (const std::uint64_t operation : operations) resolved_.push_back({operation, true});
     operations.clear();
   }
-  begin_entry(std::move(records), std::move(operations), state_.epoch(), now, effects);
+  start_append(std::move(records), std::move(operations), state_.epoch(), now, effects);
 }
 
-void ShardReplica::begin_entry(std::vector<ShardRecord> records,
-                               std::vector<std::uint64_t> operations, Epoch epoch, TimePoint now,
-                               Effects& effects) {
-  InFlight next;
+void ShardReplica::start_append(std::vector<ShardRecord> records,
+                                std::vector<std::uint64_t> operations, Epoch epoch, TimePoint now,
+                                Effects& effects) {
+  PendingAppend next;
   next.sequence = ++last_sequence_;
   next.entry.id = {self_.node, self_.incarnation, next.sequence};
   next.entry.epoch = epoch;
@@ -257,25 +259,25 @@
   next.bytes = encode(next.entry);
   next.operations = std::move(operations);
   next.first_sent_at = now;
-  in_flight_records_ = next.entry.records.size();
-  in_flight_ = std::move(next);
-  send_in_flight(now, effects);
+  pending_append_records_ = next.entry.records.size();
+  pending_append_ = std::move(next);
+  send_pending_append(now, effects);
 }
 
-void ShardReplica::send_in_flight(TimePoint now, Effects& effects) {
-  in_flight_->sent_at = now;
-  in_flight_->token = new_token();
+void ShardReplica::send_pending_append(TimePoint now, Effects& effects) {
+  pending_append_->sent_at = now;
+  pending_append_->token = new_token();
   last_append_ = now;
-  effects.push_back(AppendToLog{stream_, in_flight_->bytes, in_flight_->token});
+  effects.push_back(AppendToLog{stream_, pending_append_->bytes, pending_append_->token});
 }
 
 void ShardReplica::on_appended(std::uint64_t token, LogStatus status, Offset offset, TimePoint now,
                                Effects& effects) {
-  if (!in_flight_ || token != in_flight_->token || status != LogStatus::kOk) return;
+  if (!pending_append_ || token != pending_append_->token || status != LogStatus::kOk) return;
   if (offset == state_.next_offset()) {
-    const ShardEntry entry = in_flight_->entry;
-    fold_decoded(offset, entry, now);
-    drop_if_fenced();
+    const ShardEntry entry = pending_append_->entry;
+    apply_decoded(offset, entry, now);
+    discard_if_fenced();
     flush(now, effects);
     return;
   }
@@ -283,7 +285,7 @@
   if (read_token_ == 0) {
     send_read(now, effects);
   } else {
-    read_again_ = true;
+    reread_requested_ = true;
   }
 }
 
--- a/src/core/shard_replica.h
+++ b/src/core/shard_replica.h
@@ -1,5 +1,6 @@
 /// @file
-/// One node's copy of one job shard: follows its stream, holds its lease, appends to it.
+/// A node's replica of one job shard: reads the shard's log stream, manages its lease and appends
+/// to the stream while this node owns the shard.
 #pragma once
 
 #include <cstdint>
@@ -16,67 +17,76 @@
 
 namespace stoathold {
 
-/// How an operation handed to `ShardReplica::append` ended.
+/// Outcome of an operation passed to `ShardReplica::append`.
 struct ResolvedOperation {
   std::uint64_t operation = 0;
-  bool applied = false;  ///< False: fenced, so none of it counts.
+  bool applied = false;  ///< False: its entry was fenced and has no effect.
 };
 
-/// What a node knows of the shard's present and rightful holders when it ticks a replica.
+/// A node's view of the current lease holder and of the designated owner, the member that
+/// rendezvous hashing selects; an input of `ShardReplica::tick`.
 struct LeaseView {
-  bool self_is_rightful = false;  ///< Rendezvous hashing names this node.
-  bool holder_alive = false;      ///< The holder by the log is a live member.
-  bool rightful_alive = false;    ///< Another rightful owner is ready to take over.
-  bool draining = false;          ///< A planned stop: give the lease up in any case.
+  bool self_is_designated = false;  ///< Rendezvous hashing selects this node.
+  bool holder_alive = false;        ///< The lease holder recorded in the log is a live member.
+  bool designated_alive = false;    ///< The designated owner is another node and can take over.
+  bool draining = false;            ///< Planned shutdown: release the lease unconditionally.
 };
 
-/// Follows one shard.
+/// Replicates the state of one shard from its log stream.
 ///
-/// Life cycle: idle -> loading the snapshot -> following. A follower that is the rightful owner
-/// claims the lease when nobody holds it, or its holder is dead and silent. While the fold names
-/// this incarnation as holder, `owns()` is true and operations may be appended. At most one append
-/// is outstanding; it is sent again until the fold shows its fate. An operation counts only once
-/// the fold has applied it, never when an answer to an append arrives.
+/// Life cycle: idle -> loading the snapshot -> following. A following replica on the designated
+/// owner claims the lease if the lease is free, or if the holder has not written to the log for
+/// long enough (see `may_claim`). While the replicated state lists this incarnation as the holder,
+/// `owns()` is true and operations may be appended. At most one append is outstanding; it is resent
+/// until its entry is read back from the stream. An operation takes effect only when its entry is
+/// applied to the state in log order; the log's response to the append alone never counts.
 ///
 /// Not thread safe; guarded by `LockRank::kJobShards`.
 class ShardReplica {
  public:
   ShardReplica(ShardId shard, LeaseHolder self, const Knobs& knobs);
 
-  /// Runs the state machine: reads, claims, renews, retries, snapshots, releases.
+  /// Advances the state machine: polls the stream, claims, renews or releases the lease, retries
+  /// calls that timed out and writes snapshots.
   void tick(const LeaseView& view, TimePoint now, Effects& effects);
-  /// Takes the answer to an append with `token`.
+  /// Handles the log's response to the append sent with `token`.
   void on_appended(std::uint64_t token, LogStatus status, Offset offset, TimePoint now,
                    Effects& effects);
-  /// Takes the answer to a read with `token`. `head` is the next offset of the stream.
+  /// Handles the log's response to the read sent with `token`. `head` is the next offset of the
+  /// stream.
   void on_read(std::uint64_t token, LogStatus status, const std::vector<LogEntry>& entries,
                Offset head, TimePoint now, Effects& effects);
-  /// Takes the answer to a head request of the snapshot stream.
+  /// Handles the response to a head request on the snapshot stream.
   void on_head(std::uint64_t token, LogStatus status, Offset head, Effects& effects);
 
-  /// Queues records; `operation` (not 0) is resolved when the last of them was folded.
+  /// Queues records; `operation` (nonzero) resolves once the last of them is applied.
   void append(std::vector<ShardRecord> records, std::uint64_t operation);
-  /// Sends what is queued, if nothing is outstanding.
+  /// Sends queued records, unless an append is outstanding.
   void flush(TimePoint now, Effects& effects);
-  /// Asks for a read of the stream's tail that starts now.
-  /// @return a ticket that `barrier_passed` compares.
+  /// Requests a read barrier: a read to the stream's tail that starts after this call.
+  /// @return a ticket to pass to `barrier_passed`.
   std::uint64_t request_barrier(TimePoint now, Effects& effects);
-  /// Returns whether a read that started after the ticket was given has reached the tail.
-  [[nodiscard]] bool barrier_passed(std::uint64_t ticket) const { return passed_reads_ >= ticket; }
+  /// Returns whether a read that started after the ticket was issued has reached the tail.
+  [[nodiscard]] bool barrier_passed(std::uint64_t ticket) const {
+    return last_tail_read_ >= ticket;
+  }
 
-  /// Returns the operations resolved since the last call.
+  /// Returns and clears the operations resolved since the previous call.
   std::vector<ResolvedOperation> take_resolved();
-  /// Returns whether entries were folded since the last call.
+  /// Returns whether the state changed since the previous call, and resets the flag.
   bool take_changed();
 
-  /// Whether the fold names this incarnation as holder and the lease was not given up.
+  /// Returns whether this incarnation holds the lease and is not releasing it.
   [[nodiscard]] bool owns() const;
   [[nodiscard]] bool following() const { return phase_ == Phase::kFollowing; }
+  /// Returns whether the outstanding append has gone unconfirmed for `Knobs::log_down_after`.
   [[nodiscard]] bool log_down(TimePoint now) const;
-  [[nodiscard]] std::size_t queued_records() const { return queue_.size() + in_flight_records_; }
+  [[nodiscard]] std::size_t queued_records() const {
+    return queue_.size() + pending_append_records_;
+  }
   [[nodiscard]] const ShardState& state() const { return state_; }
   [[nodiscard]] ShardId shard() const { return shard_; }
-  /// Entries folded between the snapshot and the tail when this replica last caught up from idle.
+  /// Entries applied after the snapshot the last time this replica caught up from idle.
   [[nodiscard]] std::uint64_t replayed_entries() const { return replayed_entries_; }
   [[nodiscard]] std::uint64_t replayed_bytes() const { return replayed_bytes_; }
 
@@ -87,7 +97,7 @@
     ShardRecord record;
     std::uint64_t operation = 0;
   };
-  struct InFlight {
+  struct PendingAppend {
     std::uint64_t sequence = 0;
     std::string bytes;
     ShardEntry entry;
@@ -101,16 +111,18 @@
   void start_following(TimePoint now, Effects& effects);
   void stop_following();
   void send_read(TimePoint now, Effects& effects);
-  void send_in_flight(TimePoint now, Effects& effects);
-  void begin_entry(std::vector<ShardRecord> records, std::vector<std::uint64_t> operations,
-                   Epoch epoch, TimePoint now, Effects& effects);
-  void fold(const LogEntry& entry, TimePoint now);
-  void fold_decoded(Offset offset, const ShardEntry& entry, TimePoint now);
-  void resolve_in_flight(EntryFate fate);
-  void drop_if_fenced();
-  void consider_claim(const LeaseView& view, TimePoint now, Effects& effects);
-  void hold_lease(const LeaseView& view, TimePoint now, Effects& effects);
+  void send_pending_append(TimePoint now, Effects& effects);
+  void start_append(std::vector<ShardRecord> records, std::vector<std::uint64_t> operations,
+                    Epoch epoch, TimePoint now, Effects& effects);
+  void apply_entry(const LogEntry& entry, TimePoint now);
+  void apply_decoded(Offset offset, const ShardEntry& entry, TimePoint now);
+  void resolve_pending_append(ApplyResult fate);
+  void discard_if_fenced();
+  void claim_lease_if_allowed(const LeaseView& view, TimePoint now, Effects& effects);
+  void maintain_lease(const LeaseView& view, TimePoint now, Effects& effects);
   void write_snapshot_if_due(Effects& effects);
+  /// Returns whether the lease is free, was held by an earlier incarnation of this node, or has a
+  /// holder whose last log entry is old enough; a live holder is granted a longer silence.
   [[nodiscard]] bool may_claim(const LeaseView& view) const;
   std::uint64_t new_token() { return ++last_token_; }
 
@@ -122,9 +134,9 @@
 
   Phase phase_ = Phase::kIdle;
   ShardState state_;
-  std::optional<InFlight> in_flight_;
+  std::optional<PendingAppend> pending_append_;
   std::deque<QueuedRecord> queue_;
-  std::size_t in_flight_records_ = 0;
+  std::size_t pending_append_records_ = 0;
   std::vector<ResolvedOperation> resolved_;
   bool changed_ = false;
   bool releasing_ = false;
@@ -133,14 +145,14 @@
   std::uint64_t last_sequence_ = 0;
   std::uint64_t last_token_ = 0;
   std::uint64_t read_token_ = 0;  ///< 0: no read outstanding.
-  bool read_again_ = false;
+  bool reread_requested_ = false;
   std::uint64_t started_reads_ = 0;
-  std::uint64_t passed_reads_ = 0;
+  std::uint64_t last_tail_read_ = 0;
   TimePoint read_sent_at_;
   TimePoint next_poll_;
   TimePoint last_change_;
-  TimePoint last_good_read_;
-  std::optional<TimePoint> rightful_since_;
+  TimePoint last_successful_read_;
+  std::optional<TimePoint> designated_since_;
   TimePoint last_append_;
   std::uint64_t entries_since_snapshot_ = 0;
   std::uint64_t replayed_entries_ = 0;
--- a/src/core/shard_state.h
+++ b/src/core/shard_state.h
@@ -1,5 +1,5 @@
 /// @file
-/// The fold of one job shard's stream: what its records mean, in the order of the log.
+/// The state machine of one job shard: applies the records of its stream in log order.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace stoathold {
 
-/// Who holds a shard's lease.
+/// The node and incarnation that hold a shard's lease; node 0 if the lease is free.
 struct LeaseHolder {
   NodeId node{};
   Incarnation incarnation{};
@@ -27,7 +27,7 @@
   }
 };
 
-/// Where a run of a job's items stands in the shard's stream.
+/// The log entry that stores a contiguous run of a job's items.
 struct ItemRun {
   std::uint32_t first_index = 0;
   std::uint32_t count = 0;
@@ -39,16 +39,16 @@
   }
 };
 
-/// One accepted job. It holds offsets into the log, never prompts or results.
+/// An accepted job. Stores log offsets only; prompts and results stay in the log.
 struct JobState {
   JobSpecification specification;
   std::uint32_t item_count = 0;
   std::uint32_t completed_count = 0;
   bool cancelled = false;
-  std::vector<ItemRun> runs;           ///< Ascending by `first_index`; together all items.
-  std::vector<Offset> result_offsets;  ///< Per item: the entry with its result; 0 if none yet.
+  std::vector<ItemRun> runs;           ///< Ascending by `first_index`; they cover all items.
+  std::vector<Offset> result_offsets;  ///< Per item: offset of the entry with its result; 0: none.
 
-  /// Returns whether no item of the job needs work any more.
+  /// Returns whether the job is cancelled or all its items are completed.
   [[nodiscard]] bool finished() const { return cancelled || completed_count == item_count; }
   [[nodiscard]] bool item_completed(std::uint32_t index) const {
     return value_of(result_offsets[index]) != 0;
@@ -60,31 +60,32 @@
   }
 };
 
-/// What became of one entry when it was folded.
-enum class EntryFate : std::uint8_t {
-  kApplied,   ///< Its records were folded in.
-  kFenced,    ///< Its epoch is not in force, or its lease claim came too late.
-  kRepeated,  ///< The same append already stands earlier in the log.
+/// Result of applying one entry.
+enum class ApplyResult : std::uint8_t {
+  kApplied,          ///< Its records took effect.
+  kFenced,           ///< Its epoch is not current, or another lease claim came first.
+  kDuplicateAppend,  ///< The same append is already present earlier in the log.
 };
 
-/// State of one shard, as the pure fold of its stream up to `next_offset() - 1`.
+/// State of one shard after all entries up to `next_offset() - 1`.
 ///
-/// Every reader of the same stream computes the same state. Not thread safe; the owner's lock
+/// A deterministic function of the stream: every reader computes the same state. Not thread safe;
+/// the owner's lock
 /// (`LockRank::kJobShards`) guards it.
 class ShardState {
  public:
-  /// Folds the entry at `offset`, which must be `next_offset()`.
-  EntryFate apply(Offset offset, const ShardEntry& entry);
-  /// Skips an offset whose bytes cannot be decoded, so that one bad entry does not stop the shard.
+  /// Applies the entry at `offset`, which must be `next_offset()`.
+  ApplyResult apply(Offset offset, const ShardEntry& entry);
+  /// Skips an entry that cannot be decoded, so that one corrupt entry does not block the shard.
   void skip(Offset offset) { next_offset_ = next_of(offset); }
 
   [[nodiscard]] Offset next_offset() const { return next_offset_; }
   [[nodiscard]] Epoch epoch() const { return epoch_; }
   [[nodiscard]] const LeaseHolder& holder() const { return holder_; }
   [[nodiscard]] const std::map<JobId, JobState>& jobs() const { return jobs_; }
-  /// Returns the job, or null if no such job was accepted.
+  /// Returns the job, or null if it is not an accepted job. Invalidated by `apply`.
   [[nodiscard]] const JobState* find_job(JobId job) const;
-  /// Returns the submission that claimed `key` first, if any did.
+  /// Returns the claimant that holds `key`, if it is claimed. The first claim wins.
   [[nodiscard]] std::optional<std::uint64_t> claimant_of(std::uint64_t key) const;
 
   template <class Archive>
@@ -98,7 +99,7 @@
     std::vector<ItemRun> runs;
   };
 
-  EntryFate apply_claim(Offset offset, const ShardEntry& entry, const LeaseClaimed& claim);
+  ApplyResult apply_claim(Offset offset, const ShardEntry& entry, const LeaseClaimed& claim);
   void apply_record(Offset offset, const ItemsSubmitted& record);
   void apply_record(Offset offset, const JobCommitted& record);
   void apply_record(Offset offset, const JobCancelled& record);
@@ -111,10 +112,10 @@
   Offset next_offset_{1};
   Epoch epoch_{};
   LeaseHolder holder_;
-  std::uint64_t last_sequence_ = 0;  ///< Of the holder's appends in the present epoch.
+  std::uint64_t last_sequence_ = 0;  ///< Of the holder's appends in the current epoch.
   std::map<JobId, JobState> jobs_;
   std::unordered_map<std::uint64_t, std::uint64_t> claims_;
-  std::map<JobId, PendingSubmission> pending_;  ///< Of the present epoch only; not in snapshots.
+  std::map<JobId, PendingSubmission> pending_;  ///< Current epoch only; not in snapshots.
 };
 
 /// Encodes a shard's state for its snapshot stream.
--- a/src/core/shard_system.cc
+++ b/src/core/shard_system.cc
@@ -10,8 +10,9 @@
 namespace stoathold {
 namespace {
 
-/// Tokens of reads that are not the replica's own carry this bit.
-constexpr std::uint64_t kSideTokenBit = 1ULL << 63U;
+/// Set in the tokens of direct reads, which load single entries outside the replica's own reading
+/// of the stream.
+constexpr std::uint64_t kDirectReadTokenBit = 1ULL << 63U;
 }  // namespace
 
 JobStatus status_of(JobId id, const JobState& job) {
@@ -26,7 +27,7 @@
     rows_by_stream_[shard_stream_name(shard)] = rows_.back().get();
     rows_by_stream_[snapshot_stream_name(shard)] = rows_.back().get();
   }
-  rightful_.resize(knobs.shard_count);
+  designated_owners_.resize(knobs.shard_count);
 }
 
 ShardSystem::ShardRow* ShardSystem::row_of_stream(const std::string& stream) {
@@ -34,8 +35,8 @@
   return found == rows_by_stream_.end() ? nullptr : found->second;
 }
 
-std::uint64_t ShardSystem::new_side_token() {
-  return kSideTokenBit | ++last_side_token_;
+std::uint64_t ShardSystem::new_direct_read_token() {
+  return kDirectReadTokenBit | ++last_direct_read_token_;
 }
 
 void ShardSystem::set_draining() {
@@ -51,33 +52,34 @@
     members_version_ = version;
     const auto members = membership_.shard_members();
     for (std::size_t i = 0; i < rows_.size(); ++i) {
-      rightful_[i] = rendezvous_owner(shard_subject(rows_[i]->replica.shard()), members);
+      designated_owners_[i] = rendezvous_owner(shard_subject(rows_[i]->replica.shard()), members);
     }
   }
   for (std::size_t i = 0; i < rows_.size(); ++i) {
     auto& row = *rows_[i];
-    const auto& rightful = rightful_[i];
-    const bool rightful_self = rightful == self_.node;
-    if (!rightful_self && !row.replica.following()) continue;
+    const auto& designated = designated_owners_[i];
+    const bool self_is_designated = designated == self_.node;
+    if (!self_is_designated && !row.replica.following()) continue;
     LeaseView view;
-    view.self_is_rightful = rightful_self && !draining_;
+    view.self_is_designated = self_is_designated && !draining_;
     const NodeId holder = row.replica.state().holder().node;
     view.holder_alive = membership_.may_finish_work(holder) && membership_.reaches_log(holder);
-    view.rightful_alive = rightful && !rightful_self;
+    view.designated_alive = designated && !self_is_designated;
     view.draining = draining_;
     row.replica.tick(view, now, effects);
-    settle(row, now, effects);
+    process_replica_results(row, now, effects);
     if (row.owned) {
       row.scheduler.expire(now, [this](NodeId node) { return membership_.may_finish_work(node); });
     }
   }
 }
 
-void ShardSystem::settle(ShardRow& row, TimePoint now, Effects& effects) {
+void ShardSystem::process_replica_results(ShardRow& row, TimePoint now, Effects& effects) {
   const bool changed = row.replica.take_changed();
-  for (const auto& resolved : row.replica.take_resolved()) settle_operation(row, resolved, effects);
+  for (const auto& resolved : row.replica.take_resolved())
+    complete_operation(row, resolved, effects);
   const bool owns = row.replica.owns();
-  if (row.owned && !owns) lose_lease(row, effects);
+  if (row.owned && !owns) on_lease_lost(row, effects);
   const bool gained = owns && !row.owned;
   row.owned = owns;
   if (owns && (gained || changed)) {
@@ -86,23 +88,23 @@
       membership_.send(node, BatchStop{std::move(items)}, effects);
     }
   }
-  settle_reads(row, now, effects);
+  process_waiting_reads(row, now, effects);
 }
 
-void ShardSystem::lose_lease(ShardRow& row, Effects& effects) {
+void ShardSystem::on_lease_lost(ShardRow& row, Effects& effects) {
   row.scheduler.clear();
   for (auto& [id, operation] : row.operations) {
     for (const auto& caller : operation.callers) {
-      refuse(caller, ErrorCode::kShardMoving, Execution::kUnknown, effects);
+      reply_failure(caller, ErrorCode::kShardMoving, Execution::kUnknown, effects);
     }
   }
   row.operations.clear();
   row.submitting.clear();
-  row.run_reads.clear();
+  row.item_run_reads.clear();
 }
 
-void ShardSystem::settle_operation(ShardRow& row, const ResolvedOperation& resolved,
-                                   Effects& effects) {
+void ShardSystem::complete_operation(ShardRow& row, const ResolvedOperation& resolved,
+                                     Effects& effects) {
   auto node = row.operations.extract(resolved.operation);
   if (node.empty()) return;
   auto& operation = node.mapped();
@@ -111,12 +113,12 @@
   }
   if (!resolved.applied) {
     for (const auto& caller : operation.callers) {
-      refuse(caller, ErrorCode::kShardMoving, Execution::kNotRun, effects);
+      reply_failure(caller, ErrorCode::kShardMoving, Execution::kNotRun, effects);
     }
     return;
   }
   if (!operation.completed.empty()) {
-    membership_.send(operation.returner, BatchReturnAck{operation.completed}, effects);
+    membership_.send(operation.returning_node, BatchReturnAck{operation.completed}, effects);
     return;
   }
   const auto& state = row.replica.state();
@@ -135,7 +137,7 @@
       const auto count = static_cast<std::uint32_t>(submit->items.size());
       reply(caller, JobStatus{id, submit->specification, count, 0, false}, effects);
     } else {
-      refuse(caller, ErrorCode::kShardMoving, Execution::kNotRun, effects);
+      reply_failure(caller, ErrorCode::kShardMoving, Execution::kNotRun, effects);
     }
   }
 }
@@ -146,7 +148,7 @@
   ShardRow* row = row_of_stream(stream);
   if (row == nullptr) return false;
   row->replica.on_appended(token, status, offset, now, effects);
-  settle(*row, now, effects);
+  process_replica_results(*row, now, effects);
   return true;
 }
 
@@ -156,9 +158,10 @@
   const std::scoped_lock lock(mutex_);
   ShardRow* row = row_of_stream(stream);
   if (row == nullptr) return false;
-  if ((token & kSideTokenBit) != 0) return on_side_read(*row, token, status, entries, effects);
+  if ((token & kDirectReadTokenBit) != 0)
+    return on_direct_read(*row, token, status, entries, effects);
   row->replica.on_read(token, status, entries, head, now, effects);
-  settle(*row, now, effects);
+  process_replica_results(*row, now, effects);
   return true;
 }
 
@@ -171,27 +174,27 @@
   return true;
 }
 
-bool ShardSystem::on_side_read(ShardRow& row, std::uint64_t token, LogStatus status,
-                               const std::vector<LogEntry>& entries, Effects& effects) {
+bool ShardSystem::on_direct_read(ShardRow& row, std::uint64_t token, LogStatus status,
+                                 const std::vector<LogEntry>& entries, Effects& effects) {
   ShardEntry entry;
   const bool readable =
       status == LogStatus::kOk && !entries.empty() && decode(entries.front().bytes, entry);
-  if (auto run = row.run_reads.extract(token); !run.empty()) {
+  if (auto run = row.item_run_reads.extract(token); !run.empty()) {
     if (readable && entries.front().offset == run.mapped()) {
       row.scheduler.load_run(run.mapped(), entry);
     }
-    row.run_read_at = TimePoint{};
+    row.item_run_read_sent_at = TimePoint{};
     return true;
   }
   auto read = row.page_reads.extract(token);
   if (read.empty()) return true;
   const auto [page_id, offset] = read.mapped();
   if (readable && entries.front().offset == offset) {
-    fill_page(row, page_id, offset, entry, effects);
+    add_to_results_page(row, page_id, offset, entry, effects);
     return true;
   }
   if (auto page = row.pages.extract(page_id); !page.empty()) {
-    refuse(page.mapped().caller, ErrorCode::kLogUnavailable, Execution::kNotRun, effects);
+    reply_failure(page.mapped().caller, ErrorCode::kLogUnavailable, Execution::kNotRun, effects);
   }
   return true;
 }
@@ -200,19 +203,19 @@
   const std::scoped_lock lock(mutex_);
   const CallReference reference{caller, call.call};
   if (value_of(call.shard) >= rows_.size()) {
-    refuse(reference, ErrorCode::kBadRequest, Execution::kNotRun, effects);
+    reply_failure(reference, ErrorCode::kBadRequest, Execution::kNotRun, effects);
     return;
   }
   auto& row = *rows_[value_of(call.shard)];
   if (!row.owned) {
-    refuse(reference, ErrorCode::kShardMoving, Execution::kNotRun, effects);
+    reply_failure(reference, ErrorCode::kShardMoving, Execution::kNotRun, effects);
     return;
   }
   const bool writes = std::holds_alternative<SubmitJobCall>(call.request) ||
                       std::holds_alternative<CancelJobCall>(call.request) ||
                       std::holds_alternative<ClaimRequestCall>(call.request);
   if (writes && row.replica.log_down(now)) {
-    refuse(reference, ErrorCode::kLogUnavailable, Execution::kNotRun, effects);
+    reply_failure(reference, ErrorCode::kLogUnavailable, Execution::kNotRun, effects);
     return;
   }
   if (const auto* submit = std::get_if<SubmitJobCall>(&call.request)) {
@@ -224,7 +227,7 @@
   } else {
     serve_read(row, reference, call.request, now, effects);
   }
-  settle(row, now, effects);
+  process_replica_results(row, now, effects);
 }
 
 void ShardSystem::serve_submit(ShardRow& row, const CallReference& caller,
@@ -250,9 +253,9 @@
   }
   const auto count = static_cast<std::uint32_t>(call.items.size());
   records.emplace_back(JobCommitted{call.job, operation, count, call.specification});
-  SubmitJobCall remembered{call.job, call.specification, {}};
-  if (!policy_switches().answer_only_folded) remembered.items = call.items;
-  row.operations[operation] = {{caller}, std::move(remembered), {}, {}};
+  SubmitJobCall stored_request{call.job, call.specification, {}};
+  if (!policy_switches().answer_only_folded) stored_request.items = call.items;
+  row.operations[operation] = {{caller}, std::move(stored_request), {}, {}};
   row.submitting[call.job] = operation;
   row.replica.append(std::move(records), operation);
   row.replica.flush(now, effects);
@@ -298,8 +301,8 @@
   membership_.send(caller.caller, ShardReply{caller.call, std::move(answer)}, effects);
 }
 
-void ShardSystem::refuse(const CallReference& caller, ErrorCode code, Execution execution,
-                         Effects& effects) const {
+void ShardSystem::reply_failure(const CallReference& caller, ErrorCode code, Execution execution,
+                                Effects& effects) const {
   const auto number = static_cast<std::uint8_t>(execution);
   reply(caller, CallFailure{static_cast<int>(code), number}, effects);
 }
@@ -326,9 +329,9 @@
   return counts;
 }
 
-std::vector<ShardFigures> ShardSystem::figures() const {
+std::vector<ShardStatistics> ShardSystem::figures() const {
   const std::scoped_lock lock(mutex_);
-  std::vector<ShardFigures> figures;
+  std::vector<ShardStatistics> figures;
   for (const auto& row : rows_) {
     const auto& replica = row->replica;
     if (!replica.following()) continue;
--- a/src/core/shard_system_batch.cc
+++ b/src/core/shard_system_batch.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The part of `ShardSystem` that hands items out and takes their results back.
+/// Assignment of batch items to nodes and collection of their results, for `ShardSystem`.
 #include <algorithm>
 #include <iterator>
 #include <mutex>
@@ -9,15 +9,18 @@
 namespace stoathold {
 namespace {
 
-constexpr Duration kRunReadPatience = std::chrono::seconds(1);
+/// A shard has one outstanding read of an item run; after this time another one is sent.
+constexpr Duration kItemRunReadTimeout = std::chrono::seconds(1);
 
 }  // namespace
 
-void ShardSystem::load_run(ShardRow& row, Offset offset, TimePoint now, Effects& effects) {
-  if (now - row.run_read_at < kRunReadPatience && row.run_read_at != TimePoint{}) return;
-  row.run_read_at = now;
-  const std::uint64_t token = new_side_token();
-  row.run_reads[token] = offset;
+void ShardSystem::request_item_run(ShardRow& row, Offset offset, TimePoint now, Effects& effects) {
+  if (now - row.item_run_read_sent_at < kItemRunReadTimeout &&
+      row.item_run_read_sent_at != TimePoint{})
+    return;
+  row.item_run_read_sent_at = now;
+  const std::uint64_t token = new_direct_read_token();
+  row.item_run_reads[token] = offset;
   effects.push_back(ReadFromLog{shard_stream_name(row.replica.shard()), offset, 1, token});
 }
 
@@ -31,17 +34,18 @@
     std::optional<Offset> missing_run;
     auto items = row->scheduler.assign(puller, pull.services, places, now, missing_run);
     std::move(items.begin(), items.end(), std::back_inserter(assigned.items));
-    if (missing_run) load_run(*row, *missing_run, now, effects);
+    if (missing_run) request_item_run(*row, *missing_run, now, effects);
   }
   if (!assigned.items.empty()) membership_.send(puller, std::move(assigned), effects);
 }
 
-void ShardSystem::take_completion(ShardRow& row, const ReturnedItem& item,
-                                  std::map<JobId, std::vector<ItemResult>>& completed,
-                                  std::vector<ItemKey>& accepted, std::vector<ItemKey>& settled) {
+void ShardSystem::handle_returned_item(ShardRow& row, const ReturnedItem& item,
+                                       std::map<JobId, std::vector<ItemResult>>& completed,
+                                       std::vector<ItemKey>& accepted,
+                                       std::vector<ItemKey>& acknowledged) {
   if (!item.finished) {
     row.scheduler.give_back(item);
-    settled.push_back(item.key);
+    acknowledged.push_back(item.key);
     return;
   }
   if (row.scheduler.finish(item.key, row.replica.state())) {
@@ -50,9 +54,10 @@
     return;
   }
   const auto* job = row.replica.state().find_job(item.key.job);
-  const bool needs_none = job == nullptr || job->finished() || item.key.index >= job->item_count ||
-                          job->item_completed(item.key.index);
-  if (needs_none) settled.push_back(item.key);
+  const bool needs_no_result = job == nullptr || job->finished() ||
+                               item.key.index >= job->item_count ||
+                               job->item_completed(item.key.index);
+  if (needs_no_result) acknowledged.push_back(item.key);
 }
 
 void ShardSystem::on_return(NodeId sender, const BatchReturn& returned, TimePoint now,
@@ -62,14 +67,14 @@
   for (const auto& item : returned.items) {
     if (value_of(item.key.shard) < rows_.size()) by_shard[item.key.shard].push_back(&item);
   }
-  std::vector<ItemKey> settled;
+  std::vector<ItemKey> acknowledged;
   for (const auto& [shard, items] : by_shard) {
     auto& row = *rows_[value_of(shard)];
     if (!row.owned) continue;
     std::map<JobId, std::vector<ItemResult>> completed;
     std::vector<ItemKey> accepted;
     for (const auto* item : items) {
-      take_completion(row, *item, completed, accepted, settled);
+      handle_returned_item(row, *item, completed, accepted, acknowledged);
     }
     if (accepted.empty()) continue;
     std::vector<ShardRecord> records;
@@ -81,7 +86,8 @@
     row.replica.append(std::move(records), operation);
     row.replica.flush(now, effects);
   }
-  if (!settled.empty()) membership_.send(sender, BatchReturnAck{std::move(settled)}, effects);
+  if (!acknowledged.empty())
+    membership_.send(sender, BatchReturnAck{std::move(acknowledged)}, effects);
 }
 
 void ShardSystem::on_renew(NodeId sender, const BatchRenew& renew, TimePoint now,
--- a/tests/core/shard_state_test.cc
+++ b/tests/core/shard_state_test.cc
@@ -8,11 +8,11 @@
 constexpr NodeId kFirst{1};
 constexpr NodeId kSecond{2};
 
-/// Writes entries the way a node does, and folds them.
+/// Builds entries as a node appends them, and applies them to the state.
 class ShardStateTest : public ::testing::Test {
  protected:
-  EntryFate write(NodeId node, Epoch epoch, std::uint64_t sequence,
-                  std::vector<ShardRecord> records) {
+  ApplyResult write(NodeId node, Epoch epoch, std::uint64_t sequence,
+                    std::vector<ShardRecord> records) {
     const ShardEntry entry{{node, Incarnation{1}, sequence}, epoch, std::move(records)};
     return state_.apply(state_.next_offset(), entry);
   }
@@ -31,25 +31,25 @@
   ShardState state_;
 };
 
-TEST_F(ShardStateTest, AnOlderEpochCountsForNothing) {
+TEST_F(ShardStateTest, RejectsEntryOfOlderEpoch) {
   const Epoch old_epoch = claim(kFirst, 1);
   claim(kSecond, 1);
-  EXPECT_EQ(write(kFirst, old_epoch, 2, {JobCancelled{kJob}}), EntryFate::kFenced);
+  EXPECT_EQ(write(kFirst, old_epoch, 2, {JobCancelled{kJob}}), ApplyResult::kFenced);
 }
 
-TEST_F(ShardStateTest, OfTwoClaimsOnOneEpochTheFirstWins) {
-  EXPECT_EQ(write(kFirst, Epoch{}, 1, {LeaseClaimed{Epoch{}}}), EntryFate::kApplied);
-  EXPECT_EQ(write(kSecond, Epoch{}, 1, {LeaseClaimed{Epoch{}}}), EntryFate::kFenced);
+TEST_F(ShardStateTest, FirstOfTwoLeaseClaimsForOneEpochWins) {
+  EXPECT_EQ(write(kFirst, Epoch{}, 1, {LeaseClaimed{Epoch{}}}), ApplyResult::kApplied);
+  EXPECT_EQ(write(kSecond, Epoch{}, 1, {LeaseClaimed{Epoch{}}}), ApplyResult::kFenced);
   EXPECT_EQ(state_.holder().node, kFirst);
 }
 
-TEST_F(ShardStateTest, ARepeatedAppendIsDropped) {
+TEST_F(ShardStateTest, IgnoresDuplicateAppend) {
   const Epoch epoch = claim(kFirst, 1);
-  EXPECT_EQ(write(kFirst, epoch, 2, {LeaseRenewed{}}), EntryFate::kApplied);
-  EXPECT_EQ(write(kFirst, epoch, 2, {LeaseRenewed{}}), EntryFate::kRepeated);
+  EXPECT_EQ(write(kFirst, epoch, 2, {LeaseRenewed{}}), ApplyResult::kApplied);
+  EXPECT_EQ(write(kFirst, epoch, 2, {LeaseRenewed{}}), ApplyResult::kDuplicateAppend);
 }
 
-TEST_F(ShardStateTest, AJobCountsOnlyFromItsCommit) {
+TEST_F(ShardStateTest, JobExistsOnlyAfterItsCommit) {
   const Epoch epoch = claim(kFirst, 1);
   write(kFirst, epoch, 2, {ItemsSubmitted{kJob, 1, 0, std::vector<BatchItem>(3)}});
   EXPECT_EQ(state_.find_job(kJob), nullptr);
@@ -58,14 +58,14 @@
   EXPECT_EQ(state_.find_job(kJob)->item_count, 3U);
 }
 
-TEST_F(ShardStateTest, ACommitWithoutAllItemsDoesNotCount) {
+TEST_F(ShardStateTest, IgnoresCommitWithMissingItems) {
   const Epoch epoch = claim(kFirst, 1);
   write(kFirst, epoch, 2, {ItemsSubmitted{kJob, 1, 0, std::vector<BatchItem>(2)}});
   write(kFirst, epoch, 3, {JobCommitted{kJob, 1, 3, {}}});
   EXPECT_EQ(state_.find_job(kJob), nullptr);
 }
 
-TEST_F(ShardStateTest, HalfASubmissionDiesWithItsEpoch) {
+TEST_F(ShardStateTest, IncompleteSubmissionIsDiscardedWithItsEpoch) {
   const Epoch epoch = claim(kFirst, 1);
   write(kFirst, epoch, 2, {ItemsSubmitted{kJob, 1, 0, std::vector<BatchItem>(3)}});
   const Epoch next = claim(kSecond, 1);
@@ -73,7 +73,7 @@
   EXPECT_EQ(state_.find_job(kJob), nullptr);
 }
 
-TEST_F(ShardStateTest, TheFirstCompletionIsTheResult) {
+TEST_F(ShardStateTest, KeepsFirstCompletionOfItem) {
   const Epoch epoch = claim(kFirst, 1);
   accept_job(kFirst, epoch, 2, 2);
   write(kFirst, epoch, 3, {ItemsCompleted{kJob, {{0, "first", 1}}}});
@@ -83,7 +83,7 @@
   EXPECT_EQ(state_.find_job(kJob)->completed_count, 1U);
 }
 
-TEST_F(ShardStateTest, NothingCompletesAfterACancel) {
+TEST_F(ShardStateTest, IgnoresCompletionAfterCancel) {
   const Epoch epoch = claim(kFirst, 1);
   accept_job(kFirst, epoch, 2, 2);
   write(kFirst, epoch, 3, {JobCancelled{kJob}});
@@ -92,27 +92,27 @@
   EXPECT_EQ(state_.find_job(kJob)->completed_count, 0U);
 }
 
-TEST_F(ShardStateTest, ACompletionOfAnItemThatDoesNotExistIsDropped) {
+TEST_F(ShardStateTest, IgnoresCompletionOfNonexistentItem) {
   const Epoch epoch = claim(kFirst, 1);
   accept_job(kFirst, epoch, 2, 1);
   write(kFirst, epoch, 3, {ItemsCompleted{kJob, {{5, "stray", 1}}}});
   EXPECT_EQ(state_.find_job(kJob)->completed_count, 0U);
 }
 
-TEST_F(ShardStateTest, TheFirstClaimOfAKeyWins) {
+TEST_F(ShardStateTest, FirstClaimOfKeyWins) {
   const Epoch epoch = claim(kFirst, 1);
   write(kFirst, epoch, 2, {RequestClaimed{11, 1}, RequestClaimed{11, 2}});
   EXPECT_EQ(state_.claimant_of(11), 1U);
 }
 
-TEST_F(ShardStateTest, AReleasedLeaseFencesItsHolder) {
+TEST_F(ShardStateTest, ReleasedLeaseFencesItsHolder) {
   const Epoch epoch = claim(kFirst, 1);
   write(kFirst, epoch, 2, {LeaseReleased{}});
   EXPECT_EQ(state_.holder().node, NodeId{});
-  EXPECT_EQ(write(kFirst, epoch, 3, {LeaseRenewed{}}), EntryFate::kFenced);
+  EXPECT_EQ(write(kFirst, epoch, 3, {LeaseRenewed{}}), ApplyResult::kFenced);
 }
 
-TEST_F(ShardStateTest, ASnapshotRestoresTheState) {
+TEST_F(ShardStateTest, SnapshotRestoresState) {
   const Epoch epoch = claim(kFirst, 1);
   accept_job(kFirst, epoch, 2, 3);
   write(kFirst, epoch, 3, {ItemsCompleted{kJob, {{1, "done", 1}}}, RequestClaimed{4, 5}});
@@ -124,7 +124,7 @@
   EXPECT_EQ(restored.claimant_of(4), 5U);
 }
 
-TEST_F(ShardStateTest, ATruncatedSnapshotIsRefused) {
+TEST_F(ShardStateTest, RejectsTruncatedSnapshot) {
   const std::string whole = encode_snapshot(state_);
   ShardState restored;
   for (std::size_t size = 0; size < whole.size(); ++size) {
