--- a/src/core/peer_messages.h
+++ b/src/core/peer_messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// All messages between the system's own processes, and their wire form (cereal).
+/// The messages of the peer protocol and their binary encoding (cereal).
 #pragma once
 
 #include <string>
@@ -16,7 +16,7 @@
                                  ShardCall, ShardReply, BatchPull, BatchAssign, BatchReturn,
                                  BatchReturnAck, BatchRenew, BatchStop, OnlineNotice, ForeignView>;
 
-/// A message with its sender, as framed on the wire.
+/// A message and its sender, as sent in one frame.
 struct PeerEnvelope {
   NodeId sender{};
   PeerMessage message;
--- a/src/core/policy_switches.h
+++ b/src/core/policy_switches.h
@@ -1,12 +1,14 @@
 /// @file
-/// Switches that turn one safety mechanism off, so that the tests can show that they notice.
+/// Switches that disable single safety mechanisms for mutation tests, which check that the fuzzer
+/// detects the missing mechanism.
 ///
-/// All are on outside tests/mutations. No setting, flag or environment variable reaches them.
+/// All mechanisms are enabled except in the mutation tests of tests/fuzz. No setting, flag or
+/// environment variable of the servers changes a switch.
 #pragma once
 
 namespace stoathold {
 
-/// One flag per mechanism; true means that the mechanism works.
+/// One flag per mechanism; true means enabled.
 struct PolicySwitches {
   bool fence_by_epoch = true;
   bool drop_repeated_appends = true;
--- a/src/core/rendezvous.h
+++ b/src/core/rendezvous.h
@@ -1,5 +1,5 @@
 /// @file
-/// Rendezvous (highest random weight) hashing: spreads responsibilities over members by rule.
+/// Rendezvous (highest random weight) hashing, which assigns shards and runners to members.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +10,8 @@
 
 namespace stoathold {
 
-/// Returns the member that ranks highest for `subject`, or nothing if there are no members.
-/// Removing a member moves only the subjects that it owned.
+/// Returns the member with the highest hash for `subject`, or nothing if there are no members.
+/// Removing a member reassigns only the subjects that it owned.
 inline std::optional<NodeId> rendezvous_owner(std::uint64_t subject,
                                               const std::vector<NodeId>& members) {
   std::optional<NodeId> best;
@@ -25,13 +25,13 @@
   return best;
 }
 
-/// Subject under which a shard is ranked.
+/// Returns the hash subject of a shard.
 inline std::uint64_t shard_subject(ShardId shard) {
   constexpr std::uint64_t kShardSalt = 0x5368617264;
   return mix_hashes(kShardSalt, value_of(shard));
 }
 
-/// Subject under which a runner is ranked.
+/// Returns the hash subject of a runner.
 inline std::uint64_t runner_subject(RunnerId runner) {
   constexpr std::uint64_t kRunnerSalt = 0x52756e6e6572;
   return mix_hashes(kRunnerSalt, value_of(runner));
--- a/src/core/resources.cc
+++ b/src/core/resources.cc
@@ -78,22 +78,22 @@
 }
 
 void check_fields(const KindRules& kind, const json::object& body,
-                  std::vector<ResourceFault>& faults) {
+                  std::vector<FieldError>& errors) {
   for (std::size_t i = 0; i < kind.count; ++i) {
     const auto& rule = kind.rules[i];
     const auto* value = body.if_contains(rule.name);
     if (value == nullptr) {
-      if (rule.required) faults.push_back({std::string(rule.name), "is required"});
+      if (rule.required) errors.push_back({std::string(rule.name), "is required"});
       continue;
     }
     const std::string message = check_field(rule, *value);
-    if (!message.empty()) faults.push_back({std::string(rule.name), message});
+    if (!message.empty()) errors.push_back({std::string(rule.name), message});
   }
   for (const auto& member : body) {
     const bool known = std::any_of(kind.rules, kind.rules + kind.count, [&](const FieldRule& rule) {
       return rule.name == member.key();
     });
-    if (!known) faults.push_back({std::string(member.key()), "is not a field of this kind"});
+    if (!known) errors.push_back({std::string(member.key()), "is not a field of this kind"});
   }
 }
 
@@ -118,26 +118,26 @@
 
 }  // namespace
 
-std::vector<ResourceFault> check_resource(std::string_view kind, std::string_view name,
-                                          std::string_view body) {
-  std::vector<ResourceFault> faults;
+std::vector<FieldError> check_resource(std::string_view kind, std::string_view name,
+                                       std::string_view body) {
+  std::vector<FieldError> errors;
   const auto rules = std::find_if(kKinds.begin(), kKinds.end(),
                                   [&](const KindRules& entry) { return entry.kind == kind; });
   if (rules == kKinds.end()) {
-    faults.push_back({"kind", "must be Service, Model, PriorityClass or Tenant"});
-    return faults;
+    errors.push_back({"kind", "must be Service, Model, PriorityClass or Tenant"});
+    return errors;
   }
   if (!valid_name(name)) {
-    faults.push_back({"name", "must be 1 to 63 characters of a-z, 0-9, '-' and '.'"});
+    errors.push_back({"name", "must be 1 to 63 characters of a-z, 0-9, '-' and '.'"});
   }
   boost::system::error_code error;
   const auto value = json::parse(json::string_view(body.data(), body.size()), error);
   if (error || !value.is_object()) {
-    faults.push_back({"spec", "must be a JSON object"});
-    return faults;
+    errors.push_back({"spec", "must be a JSON object"});
+    return errors;
   }
-  check_fields(*rules, value.get_object(), faults);
-  return faults;
+  check_fields(*rules, value.get_object(), errors);
+  return errors;
 }
 
 ServiceSpecification parse_service(std::string_view body) {
--- a/src/core/resources.h
+++ b/src/core/resources.h
@@ -1,5 +1,5 @@
 /// @file
-/// The resources that operators declare, their checks and their typed forms.
+/// Declarative resources: kinds, validation and typed specifications.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,11 @@
 
 namespace stoathold {
 
-/// A resource as stored and listed: `body` is its specification as JSON text.
+/// A stored resource. `body` is its specification as JSON text.
 struct Resource {
   std::string kind;
   std::string name;
-  Offset version{};  ///< Offset of the accepted change that made it.
+  Offset version{};  ///< Log offset of the accepted change that wrote it.
   std::string body;
 
   template <class Archive>
@@ -31,19 +31,19 @@
 inline constexpr std::string_view kPriorityClassKind = "PriorityClass";
 inline constexpr std::string_view kTenantKind = "Tenant";
 
-/// A text-generation service offered to callers under its own name.
+/// A text-generation service that callers address by name.
 struct ServiceSpecification {
-  std::string model;                            ///< Name of the model that answers.
-  std::uint32_t runner_slots = 16;              ///< Streams at once on one runner.
-  std::uint32_t first_token_timeout_ms = 2000;  ///< Silence after which a stream is given up.
+  std::string model;                            ///< Name of the model that serves it.
+  std::uint32_t runner_slots = 16;              ///< Concurrent streams per runner.
+  std::uint32_t first_token_timeout_ms = 2000;  ///< A stream that is silent this long fails.
 };
 
-/// A model that runners load.
+/// A model served by runners.
 struct ModelSpecification {
   std::string version;
 };
 
-/// A class of work. Larger weights go first; `online` work never waits behind batch work.
+/// A priority class. Larger weights are served first; online work never queues behind batch work.
 struct PriorityClassSpecification {
   std::uint32_t weight = 1;
   bool online = true;
@@ -51,22 +51,22 @@
 
 /// Limits of one tenant, per node.
 struct TenantSpecification {
-  std::uint32_t max_concurrent = 0;       ///< Requests at once; 0: no limit.
-  std::uint32_t requests_per_second = 0;  ///< Rate of admission; 0: no limit.
+  std::uint32_t max_concurrent = 0;       ///< Concurrent requests; 0: no limit.
+  std::uint32_t requests_per_second = 0;  ///< Admission rate; 0: no limit.
 };
 
-/// A fault found in a resource: which field, and what is wrong with it.
-struct ResourceFault {
+/// A validation error: the field and the violated rule.
+struct FieldError {
   std::string field;
   std::string message;
 };
 
-/// Checks a resource's kind, name and specification.
-/// @return every fault found; empty if the resource may be applied.
-std::vector<ResourceFault> check_resource(std::string_view kind, std::string_view name,
-                                          std::string_view body);
+/// Validates a resource's kind, name and specification.
+/// @return all errors found; empty if the resource is valid.
+std::vector<FieldError> check_resource(std::string_view kind, std::string_view name,
+                                       std::string_view body);
 
-/// Parse a specification that passed `check_resource`; defaults fill what it does not state.
+/// These parse a specification that passed `check_resource`; absent fields get their defaults.
 ServiceSpecification parse_service(std::string_view body);
 ModelSpecification parse_model(std::string_view body);
 PriorityClassSpecification parse_priority_class(std::string_view body);
--- a/src/core/runner_table.cc
+++ b/src/core/runner_table.cc
@@ -58,7 +58,7 @@
   row.report = load;
   row.reported = true;
   row.reported_at = now;
-  row.sent_since_report = 0;
+  row.streams_since_report = 0;
 }
 
 void RunnerTable::on_foreign_leaving(NodeId source, const std::vector<RunnerId>& runners,
@@ -70,7 +70,7 @@
 
 void RunnerTable::refresh_foreign_leaving(TimePoint now) {
   std::erase_if(leaving_reports_, [&](const auto& item) {
-    return now - item.second.heard > knobs_.load_stale_after;
+    return now - item.second.received_at > knobs_.load_stale_after;
   });
   foreign_leaving_.clear();
   for (const auto& [source, report] : leaving_reports_) {
@@ -92,14 +92,14 @@
   const bool fresh = row.reported && now - row.reported_at < knobs_.load_stale_after;
   if (!fresh) return row.own_streams;
   const std::uint32_t reported = row.report.online_streams + row.report.queued;
-  return std::max(reported + row.sent_since_report, row.own_streams);
+  return std::max(reported + row.streams_since_report, row.own_streams);
 }
 
 bool RunnerTable::is_leaving(const RunnerRow& row) const {
   return row.listed.leaving || row.report.leaving != 0 || foreign_leaving_.contains(row.id);
 }
 
-bool RunnerTable::fit(RunnerRow& row, const PickQuery& query, TimePoint now) {
+bool RunnerTable::is_eligible(RunnerRow& row, const PickQuery& query, TimePoint now) {
   if (is_leaving(row) && policy_switches().skip_leaving_runners) return false;
   const auto& excluded = query.excluded;
   if (std::find(excluded.begin(), excluded.end(), row.id) != excluded.end()) return false;
@@ -112,48 +112,48 @@
 }
 
 std::optional<Pick> RunnerTable::pick_among(const std::vector<std::size_t>& rows,
-                                            const PickQuery& query, PickReason far_reason,
+                                            const PickQuery& query, PickReason remote_reason,
                                             bool& all_full, TimePoint now) {
-  const RunnerRow* affine = nullptr;
-  std::uint64_t affine_rank = 0;
+  const RunnerRow* preferred = nullptr;
+  std::uint64_t preferred_rank = 0;
   const RunnerRow* alternative = nullptr;
-  std::uint64_t fit_count = 0;
+  std::uint64_t eligible_count = 0;
   for (const std::size_t index : rows) {
     auto& row = rows_[index];
-    if (!fit(row, query, now)) continue;
+    if (!is_eligible(row, query, now)) continue;
     if (load_of(row, now) >= query.slots) {
       all_full = true;
       continue;
     }
     const std::uint64_t rank = mix_hashes(query.prefix, value_of(row.id));
-    if (affine == nullptr || rank > affine_rank) {
-      affine = &row;
-      affine_rank = rank;
+    if (preferred == nullptr || rank > preferred_rank) {
+      preferred = &row;
+      preferred_rank = rank;
     }
-    ++fit_count;
-    if (random_.below(fit_count) == 0) alternative = &row;
+    ++eligible_count;
+    if (random_.below(eligible_count) == 0) alternative = &row;
   }
-  if (affine == nullptr) return std::nullopt;
-  const bool keep = load_of(*affine, now) <= load_of(*alternative, now) + knobs_.affinity_slack;
-  const RunnerRow& chosen = keep ? *affine : *alternative;
+  if (preferred == nullptr) return std::nullopt;
+  const bool keep = load_of(*preferred, now) <= load_of(*alternative, now) + knobs_.affinity_slack;
+  const RunnerRow& chosen = keep ? *preferred : *alternative;
   PickReason reason = keep ? PickReason::kAffinity : PickReason::kLessLoaded;
-  if (far_reason != PickReason::kNone) reason = far_reason;
+  if (remote_reason != PickReason::kNone) reason = remote_reason;
   return Pick{chosen.id, chosen.listed.address, reason, false};
 }
 
 Pick RunnerTable::pick(const PickQuery& query, TimePoint now) {
   const std::scoped_lock lock(mutex_);
-  Pick nothing;
+  Pick no_pick;
   const auto found = services_.find(query.service);
-  if (found == services_.end()) return nothing;
+  if (found == services_.end()) return no_pick;
   const auto& service = found->second;
   bool all_full = false;
   if (auto pick = pick_among(service.zone, query, PickReason::kNone, all_full, now)) return *pick;
   for (const auto* rows : {&service.region, &service.elsewhere}) {
     if (auto pick = pick_among(*rows, query, PickReason::kOtherZone, all_full, now)) return *pick;
   }
-  nothing.all_full = all_full;
-  return nothing;
+  no_pick.all_full = all_full;
+  return no_pick;
 }
 
 void RunnerTable::on_stream_started(RunnerId runner) {
@@ -161,7 +161,7 @@
   const auto found = index_.find(runner);
   if (found == index_.end()) return;
   ++rows_[found->second].own_streams;
-  ++rows_[found->second].sent_since_report;
+  ++rows_[found->second].streams_since_report;
 }
 
 void RunnerTable::on_stream_ended(RunnerId runner, StreamVerdict verdict, TimePoint now) {
@@ -179,8 +179,8 @@
     return;
   }
   ++row.failures;
-  const bool relapsed = row.health == RunnerHealth::kProbation;
-  if (row.failures < knobs_.eject_after_failures && !relapsed) return;
+  const bool failed_on_probation = row.health == RunnerHealth::kProbation;
+  if (row.failures < knobs_.eject_after_failures && !failed_on_probation) return;
   const Duration doubled = std::max(row.eject_time * 2, knobs_.eject_time);
   row.eject_time = std::min(doubled, knobs_.eject_time_limit);
   row.ejected_until = now + row.eject_time;
--- a/src/core/runner_table.h
+++ b/src/core/runner_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a node knows of the runners, and which one a request goes to.
+/// A node's table of runners, and the selection of a runner for a request.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 namespace stoathold {
 
-/// A runner as the platform's (lagging) machine list names it.
+/// A runner's entry in the platform's machine list. The list lags behind the actual state.
 struct ListedRunner {
   std::string name;
   std::string region;
@@ -28,40 +28,41 @@
   bool leaving = false;
 };
 
-/// Standing of a runner with this node, from the outcomes of its own requests.
+/// Health of a runner as judged by this node from the outcomes of its own requests (passive health
+/// checking).
 enum class RunnerHealth : std::uint8_t {
   kHealthy,
-  kEjected,    ///< Gets no work until its ejection ends.
-  kProbation,  ///< Gets one request at a time until one succeeds.
+  kEjected,    ///< Receives no requests until its ejection ends.
+  kProbation,  ///< Receives one request at a time until one succeeds.
 };
 
-/// What the end of a stream says of its runner.
+/// Effect of a stream's outcome on its runner's health.
 enum class StreamVerdict : std::uint8_t {
   kSucceeded,
   kFailed,
-  kNeutral,  ///< Ended by the caller or the deadline.
+  kNeutral,  ///< Ended by the caller or the deadline; no effect.
 };
 
-/// What the picker is asked for.
+/// Input of `RunnerTable::pick`.
 struct PickQuery {
   std::string service;
-  std::uint32_t slots = 1;         ///< Streams at once on one runner, from the service.
-  std::uint64_t prefix = 0;        ///< Hash of the prompt's head, for prefix-cache affinity.
-  std::vector<RunnerId> excluded;  ///< Runners that failed this request already.
+  std::uint32_t slots = 1;         ///< Concurrent streams per runner, a setting of the service.
+  std::uint64_t prefix = 0;        ///< Hash of the prompt prefix, for prefix-cache affinity.
+  std::vector<RunnerId> excluded;  ///< Runners on which this request already failed.
 };
 
-/// Why a runner was picked; kept for `explain`.
+/// Why a runner was picked; recorded for `explain`.
 enum class PickReason : std::uint8_t { kAffinity, kLessLoaded, kOtherZone, kNone };
 
-/// Result of a pick. `reason` is `kNone` if no runner is fit or all are full.
+/// Result of a pick. `reason` is `kNone` if no runner is eligible or all eligible ones are full.
 struct Pick {
   RunnerId runner{};
   std::string address;
   PickReason reason = PickReason::kNone;
-  bool all_full = false;  ///< Fit runners exist, but none has a free slot.
+  bool all_full = false;  ///< Eligible runners exist, but none has a free slot.
 };
 
-/// One runner with this node's judgement, for operators and for its owner.
+/// A runner's entry, health and load on this node, for operators and for the runner's owner.
 struct RunnerView {
   RunnerId id{};
   ListedRunner listed;
@@ -71,34 +72,42 @@
   std::uint32_t own_streams = 0;
 };
 
-/// The runner table and the picker that runs over it. Thread safe (`LockRank::kRunnerTable`).
+/// Keeps the listed runners with their load and health, and picks one for each request. Thread safe
+/// (`LockRank::kRunnerTable`).
 class RunnerTable {
  public:
   RunnerTable(std::string region, std::string zone, std::uint64_t seed, const Knobs& knobs);
 
-  /// Takes the machine list; runners that left it are dropped.
+  /// Applies a machine list; runners missing from it are removed.
   void on_machine_list(const std::vector<ListedRunner>& runners);
-  /// Takes a load as reported by the runner's owner (or by the runner itself, at its owner).
+  /// Applies a load report from the runner's owner (on the owner: from the runner itself).
   void on_load(const RunnerLoad& load, TimePoint now);
 
-  /// Replaces what one source says of other zones' runners that leave.
+  /// Replaces the set of leaving runners of other zones as reported by one source. A report expires
+  /// after `Knobs::load_report_ttl`.
   void on_foreign_leaving(NodeId source, const std::vector<RunnerId>& runners, TimePoint now);
-  /// Runners of this zone that leave, by their owners' reports; ascending.
+  /// Runners of this zone that their owners report as leaving, in ascending order.
   [[nodiscard]] std::vector<RunnerId> leaving_in_zone() const;
 
-  /// Picks a runner: the prefix's own if it is not much more loaded than another one picked at
-  /// random; in this zone, then this region, then anywhere.
+  /// Picks a runner in this zone, else in this region, else in another region. Among eligible
+  /// runners it takes the one that rendezvous hashing selects for the prefix, unless that one's
+  /// load exceeds a random alternative's by more than `Knobs::max_affinity_load_difference`.
   [[nodiscard]] Pick pick(const PickQuery& query, TimePoint now);
-  /// Counts a stream that this node opened or that ended.
+  /// Counts a stream that this node opened.
   void on_stream_started(RunnerId runner);
+  /// Uncounts a stream and updates the runner's health. A runner is ejected after
+  /// `Knobs::eject_after_failures` consecutive failures, or a single one on probation; each
+  /// ejection doubles its duration up to a limit.
   void on_stream_ended(RunnerId runner, StreamVerdict verdict, TimePoint now);
 
   [[nodiscard]] std::optional<RunnerView> find(RunnerId runner) const;
   [[nodiscard]] std::vector<RunnerView> list() const;
-  /// Grows whenever the list, a leaving mark or a health changes, so that others need not look.
+  /// Increases when the machine list, a leaving mark or a runner's health changes, so that callers
+  /// can skip work while it stays the same.
   [[nodiscard]] std::uint64_t version() const;
-  /// Runners of this node's zone, for ownership.
+  /// Runners of this node's zone, the ones whose ownership its nodes divide.
   [[nodiscard]] std::vector<RunnerId> zone_runners() const;
+  /// Returns the number of entries and their approximate size in bytes.
   [[nodiscard]] std::pair<std::size_t, std::size_t> table_size() const;
 
  private:
@@ -108,7 +117,7 @@
     RunnerLoad report;
     TimePoint reported_at;
     bool reported = false;
-    std::uint32_t sent_since_report = 0;
+    std::uint32_t streams_since_report = 0;
     std::uint32_t own_streams = 0;
     std::uint32_t failures = 0;
     TimePoint ejected_until;
@@ -116,12 +125,16 @@
     RunnerHealth health = RunnerHealth::kHealthy;
   };
 
+  /// Returns the reported streams plus those started since the report; only this node's own streams
+  /// if the report is stale.
   [[nodiscard]] std::uint32_t load_of(const RunnerRow& row, TimePoint now) const;
-  /// By the machine list, by its owner's report, or by another zone's relays.
+  /// Returns whether the machine list, the runner's owner or a relay of another zone marks the
+  /// runner as leaving.
   [[nodiscard]] bool is_leaving(const RunnerRow& row) const;
-  [[nodiscard]] bool fit(RunnerRow& row, const PickQuery& query, TimePoint now);
+  /// Returns whether a request may go to the runner; moves it to probation when its ejection ends.
+  [[nodiscard]] bool is_eligible(RunnerRow& row, const PickQuery& query, TimePoint now);
   [[nodiscard]] std::optional<Pick> pick_among(const std::vector<std::size_t>& rows,
-                                               const PickQuery& query, PickReason far_reason,
+                                               const PickQuery& query, PickReason remote_reason,
                                                bool& all_full, TimePoint now);
   void rebuild_indexes();
   void refresh_foreign_leaving(TimePoint now);
@@ -144,7 +157,7 @@
   std::unordered_map<std::string, ServiceIndex> services_;
   struct LeavingReport {
     std::vector<RunnerId> runners;
-    TimePoint heard;
+    TimePoint received_at;
   };
   std::map<NodeId, LeavingReport> leaving_reports_;
   std::set<RunnerId> foreign_leaving_;
--- a/src/core/shard_caller.cc
+++ b/src/core/shard_caller.cc
@@ -24,7 +24,7 @@
   OpenCall call;
   call.shard = shard;
   call.request = std::move(request);
-  call.give_up_at = now + timeout;
+  call.deadline = now + timeout;
   call.backoff = knobs_.call_retry_period;
   auto& stored = calls_[id] = std::move(call);
   send(id, stored, now, effects);
@@ -43,7 +43,7 @@
   }
   const std::uint64_t attempt = ++last_id_;
   attempts_[attempt] = id;
-  ++call.unanswered;
+  ++call.open_attempts;
   membership_.send(*owner, ShardCall{attempt, call.shard, call.request}, effects);
 }
 
@@ -61,14 +61,14 @@
     finish(id, reply.answer);
     return;
   }
-  if (failure->execution == static_cast<std::uint8_t>(Execution::kNotRun)) --call.unanswered;
+  if (failure->execution == static_cast<std::uint8_t>(Execution::kNotRun)) --call.open_attempts;
   call.last_code = failure->code;
   const auto code = static_cast<ErrorCode>(failure->code);
   const bool final_answer = code == ErrorCode::kNotFound || code == ErrorCode::kBadRequest ||
                             code == ErrorCode::kTooLarge;
-  const bool log_down = code == ErrorCode::kLogUnavailable && call.unanswered == 0;
-  if (final_answer || log_down) {
-    finish(id, *failure);  // `call` is gone from here on
+  const bool log_unavailable = code == ErrorCode::kLogUnavailable && call.open_attempts == 0;
+  if (final_answer || log_unavailable) {
+    finish(id, *failure);  // Invalidates `call`.
     return;
   }
   call.next_send = std::min(call.next_send, now + knobs_.call_retry_period);
@@ -76,18 +76,18 @@
 
 void ShardCaller::tick(TimePoint now, Effects& effects) {
   const std::scoped_lock lock(mutex_);
-  std::vector<std::uint64_t> given_up;
+  std::vector<std::uint64_t> expired;
   for (auto& [id, call] : calls_) {
-    if (now >= call.give_up_at) {
-      given_up.push_back(id);
+    if (now >= call.deadline) {
+      expired.push_back(id);
     } else if (now >= call.next_send) {
       send(id, call, now, effects);
     }
   }
-  for (const std::uint64_t id : given_up) {
+  for (const std::uint64_t id : expired) {
     const auto& call = calls_.at(id);
-    const bool known = call.unanswered == 0 || !policy_switches().honest_not_run;
-    const Execution execution = known ? Execution::kNotRun : Execution::kUnknown;
+    const bool known_not_run = call.open_attempts == 0 || !policy_switches().honest_not_run;
+    const Execution execution = known_not_run ? Execution::kNotRun : Execution::kUnknown;
     const int unreachable = static_cast<int>(ErrorCode::kPeerUnreachable);
     const int code = call.last_code == 0 ? unreachable : call.last_code;
     finish(id, CallFailure{code, static_cast<std::uint8_t>(execution)});
--- a/src/core/shard_caller.h
+++ b/src/core/shard_caller.h
@@ -1,5 +1,6 @@
 /// @file
-/// The calling side of job shards: finds the owner, retries with back-off, gives up honestly.
+/// Client of the job shards: finds a shard's owner, retries with back-off and, when a call times
+/// out, reports whether it may have run.
 #pragma once
 
 #include <cstdint>
@@ -16,27 +17,28 @@
 
 namespace stoathold {
 
-/// A call that has its final answer.
+/// A call and its final answer.
 struct FinishedCall {
   std::uint64_t call = 0;
   ShardAnswer answer;
 };
 
-/// Calls that this node made on shards. All shard calls can be repeated safely: a job's identity
-/// comes from its key, and a claim names its claimant. Thread safe (`LockRank::kShardCalls`).
+/// Tracks the shard calls that this node makes. All shard calls are idempotent, since a job's id is
+/// derived from its key and a claim carries its claimant. Thread safe (`LockRank::kShardCalls`).
 class ShardCaller {
  public:
   ShardCaller(std::uint64_t seed, const Knobs& knobs, const Membership& membership);
 
-  /// Starts a call; its answer comes from `take_finished`.
-  /// @param timeout bound after which the caller gets a final answer.
+  /// Starts a call; `take_finished` returns its answer.
+  /// @param timeout time after which the call fails.
+  /// @return the id of the call.
   std::uint64_t start(ShardId shard, ShardRequest request, Duration timeout, TimePoint now,
                       Effects& effects);
-  /// Takes an owner's reply to one attempt of a call.
+  /// Handles the reply to one attempt of a call.
   void on_reply(const ShardReply& reply, TimePoint now);
-  /// Sends what is due again and gives up what is out of time.
+  /// Sends the retries that are due and fails the calls that timed out.
   void tick(TimePoint now, Effects& effects);
-  /// Returns the calls that ended since the last time.
+  /// Returns and clears the calls that finished since the previous call.
   std::vector<FinishedCall> take_finished();
   [[nodiscard]] std::size_t open_calls() const;
 
@@ -44,10 +46,10 @@
   struct OpenCall {
     ShardId shard{};
     ShardRequest request;
-    TimePoint give_up_at;
+    TimePoint deadline;
     TimePoint next_send;
     Duration backoff{0};
-    std::uint32_t unanswered = 0;  ///< Attempts sent whose fate is not known.
+    std::uint32_t open_attempts = 0;  ///< Attempts sent that may have run.
     int last_code = 0;
   };
 
@@ -64,7 +66,7 @@
   std::vector<FinishedCall> finished_;
 };
 
-/// Returns the shard that is responsible for a job or a claimed key.
+/// Maps a job id or a claim key to its shard.
 ShardId shard_of(std::uint64_t key, const Knobs& knobs);
 
 }  // namespace stoathold
--- a/src/core/shard_messages.h
+++ b/src/core/shard_messages.h
@@ -14,7 +14,7 @@
 
 namespace stoathold {
 
-/// Requests that a shard's owner serves.
+/// Submits a job. Repeating the call with the same job id has no further effect.
 struct SubmitJobCall {
   JobId job{};
   JobSpecification specification;
@@ -26,6 +26,7 @@
   }
 };
 
+/// Cancels a job; has no effect on a finished one.
 struct CancelJobCall {
   JobId job{};
 
@@ -35,6 +36,7 @@
   }
 };
 
+/// Reads the progress of a job.
 struct JobStatusCall {
   JobId job{};
 
@@ -44,7 +46,7 @@
   }
 };
 
-/// Asks for the results of items [first_index, first_index + limit).
+/// Reads the results of items [first_index, first_index + limit).
 struct JobResultsCall {
   JobId job{};
   std::uint32_t first_index = 0;
@@ -56,6 +58,7 @@
   }
 };
 
+/// Claims an idempotency key for one submission; the first claimant keeps it.
 struct ClaimRequestCall {
   std::uint64_t key = 0;
   std::uint64_t claimant = 0;
@@ -71,7 +74,7 @@
 
 /// A call to the owner of a shard.
 struct ShardCall {
-  std::uint64_t call = 0;  ///< Unique at the sender's incarnation.
+  std::uint64_t call = 0;  ///< Unique within the sender's incarnation.
   ShardId shard{};
   ShardRequest request;
 
@@ -95,7 +98,7 @@
   }
 };
 
-/// A page of results; items without a result yet are left out.
+/// A page of results; items without a result are omitted.
 struct JobResults {
   std::vector<ItemResult> results;
   std::uint32_t next_index = 0;  ///< First index of the next page; `item_count` at the end.
@@ -107,7 +110,7 @@
   }
 };
 
-/// Whether the claim was granted to the claimant that asked.
+/// Answer to a `ClaimRequestCall`: whether the calling claimant holds the key.
 struct ClaimVerdict {
   bool granted = false;
 
@@ -117,10 +120,10 @@
   }
 };
 
-/// Why a call failed.
+/// Error answer to a call.
 struct CallFailure {
-  int code = 0;  ///< Value of an `ErrorCode`.
-  std::uint8_t execution = 0;
+  int code = 0;                ///< Value of an `ErrorCode`.
+  std::uint8_t execution = 0;  ///< Value of an `Execution`.
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/core/shard_replica.cc
+++ b/src/core/shard_replica.cc
@@ -9,7 +9,7 @@
 
 constexpr std::uint32_t kReadLimit = 256;
 /// A live holder that stops writing to the log loses its lease after this multiple of
-/// `lease_silence`.
+/// `Knobs::lease_timeout`.
 constexpr int kSilentHolderFactor = 6;
 
 }  // namespace
--- a/src/core/shard_replica.h
+++ b/src/core/shard_replica.h
@@ -38,8 +38,8 @@
 /// owner claims the lease if the lease is free, or if the holder has not written to the log for
 /// long enough (see `may_claim`). While the replicated state lists this incarnation as the holder,
 /// `owns()` is true and operations may be appended. At most one append is outstanding; it is resent
-/// until its entry is read back from the stream. An operation takes effect only when its entry is
-/// applied to the state in log order; the log's response to the append alone never counts.
+/// until its entry is applied or fenced. An operation takes effect only when its entry is applied
+/// to the state in log order; a successful response to the append is not enough.
 ///
 /// Not thread safe; guarded by `LockRank::kJobShards`.
 class ShardReplica {
@@ -79,7 +79,7 @@
   /// Returns whether this incarnation holds the lease and is not releasing it.
   [[nodiscard]] bool owns() const;
   [[nodiscard]] bool following() const { return phase_ == Phase::kFollowing; }
-  /// Returns whether the outstanding append has gone unconfirmed for `Knobs::log_down_after`.
+  /// Returns whether the outstanding append has gone unconfirmed for `Knobs::log_down_timeout`.
   [[nodiscard]] bool log_down(TimePoint now) const;
   [[nodiscard]] std::size_t queued_records() const {
     return queue_.size() + pending_append_records_;
--- a/tests/core/runner_table_test.cc
+++ b/tests/core/runner_table_test.cc
@@ -29,12 +29,12 @@
   RunnerTable table_;
 };
 
-TEST_F(RunnerTableTest, OnePrefixStaysOnOneRunnerOfTheZone) {
+TEST_F(RunnerTableTest, PrefixStaysOnOneRunnerOfItsZone) {
   const RunnerId first = pick().runner;
   for (int i = 0; i < 20; ++i) EXPECT_EQ(pick().runner, first);
 }
 
-TEST_F(RunnerTableTest, AFullZoneSpillsOver) {
+TEST_F(RunnerTableTest, FullZoneOverflowsToOtherZone) {
   for (const char* name : {"near-1", "near-2"}) {
     for (int i = 0; i < 2; ++i) table_.on_stream_started(runner_id_from_name(name));
   }
@@ -42,7 +42,7 @@
   EXPECT_EQ(pick().reason, PickReason::kOtherZone);
 }
 
-TEST_F(RunnerTableTest, WhenAllAreFullItSaysSo) {
+TEST_F(RunnerTableTest, ReportsThatAllRunnersAreFull) {
   for (const char* name : {"near-1", "near-2", "far"}) {
     for (int i = 0; i < 2; ++i) table_.on_stream_started(runner_id_from_name(name));
   }
@@ -50,7 +50,7 @@
   EXPECT_TRUE(pick().all_full);
 }
 
-TEST_F(RunnerTableTest, ALeavingRunnerGetsNothing) {
+TEST_F(RunnerTableTest, LeavingRunnerIsNeverPicked) {
   RunnerLoad load;
   load.runner = runner_id_from_name("near-1");
   load.leaving = 1;
@@ -59,7 +59,7 @@
   for (std::uint64_t prefix = 0; prefix < 50; ++prefix) EXPECT_EQ(pick(prefix).address, "near-2");
 }
 
-TEST_F(RunnerTableTest, AFailingRunnerIsEjectedAndComesBackByProbation) {
+TEST_F(RunnerTableTest, FailingRunnerIsEjectedAndReturnsThroughProbation) {
   const RunnerId runner = pick().runner;
   fail(runner, knobs_.eject_after_failures);
   EXPECT_NE(pick().runner, runner);
@@ -72,7 +72,7 @@
   EXPECT_EQ(table_.find(runner)->health, RunnerHealth::kHealthy);
 }
 
-TEST_F(RunnerTableTest, ARelapseIsEjectedForLonger) {
+TEST_F(RunnerTableTest, FailureOnProbationDoublesEjectionTime) {
   const RunnerId runner = pick().runner;
   fail(runner, knobs_.eject_after_failures);
   now_ += knobs_.eject_time;
@@ -82,14 +82,14 @@
   EXPECT_NE(pick().runner, runner);
 }
 
-TEST_F(RunnerTableTest, AnAbandonedStreamSaysNothingOfItsRunner) {
+TEST_F(RunnerTableTest, NeutralStreamEndLeavesHealthUnchanged) {
   const RunnerId runner = pick().runner;
   fail(runner, knobs_.eject_after_failures);
   table_.on_stream_ended(runner, StreamVerdict::kNeutral, now_);
   EXPECT_EQ(table_.find(runner)->health, RunnerHealth::kEjected);
 }
 
-TEST_F(RunnerTableTest, ALoadedRunnerLosesItsPrefix) {
+TEST_F(RunnerTableTest, LoadedRunnerLosesItsPrefix) {
   const RunnerId runner = pick().runner;
   RunnerLoad load;
   load.runner = runner;
