--- a/tests/fuzz/commands.cc
+++ b/tests/fuzz/commands.cc
@@ -5,7 +5,7 @@
 namespace stoathold::fuzz {
 namespace {
 
-constexpr std::array<const char*, kActionCount> kNames{
+constexpr std::array<const char*, kActionCount> kActionNames{
     "online_burst",   "unsafe_keyed",  "unsafe_keyed_twice",
     "unsafe_unkeyed", "submit",        "submit_twice",
     "cancel",         "read_status",   "read_results",
@@ -21,118 +21,118 @@
 
 constexpr std::uint32_t kKeys = 4;
 constexpr std::uint32_t kMaxItems = 20;
-constexpr std::uint32_t kBurst = 24;
+constexpr std::uint32_t kMinBurstSize = 24;
 
-/// A job resent under one key is the same job, so its size follows from the key.
-constexpr std::uint32_t items_of(std::uint32_t key) {
+/// Repeated submissions under one key must be identical, so the item count depends only on the key.
+constexpr std::uint32_t item_count_of(std::uint32_t key) {
   return 1 + key * 7 % kMaxItems;
 }
 
-void call_as_client(World& world, const Command& command) {
+void run_client_action(SimulatedCluster& cluster, const Command& command) {
   const std::uint32_t first = command.first;
   const std::uint32_t second = command.second;
   switch (command.action) {
     case Action::kOnlineBurst:
-      for (std::uint32_t i = 0; i < kBurst + second % kBurst; ++i) {
+      for (std::uint32_t i = 0; i < kMinBurstSize + second % kMinBurstSize; ++i) {
         const Duration deadline = std::chrono::milliseconds(1000 + 500 * (second % 20));
-        world.online(first + i % 2, 1 + (second + i) % 12, deadline);
+        cluster.online(first + i % 2, 1 + (second + i) % 12, deadline);
       }
       break;
     case Action::kUnsafeKeyed:
-      world.unsafe_online(first, second % kKeys);
+      cluster.unsafe_online(first, second % kKeys);
       break;
     case Action::kUnsafeKeyedTwice:
-      world.unsafe_online(first, second % kKeys);
-      world.unsafe_online(first + 1, second % kKeys);
+      cluster.unsafe_online(first, second % kKeys);
+      cluster.unsafe_online(first + 1, second % kKeys);
       break;
     case Action::kUnsafeUnkeyed:
-      for (std::uint32_t i = 0; i <= second % 8; ++i) world.unsafe_online_unkeyed(first + i);
+      for (std::uint32_t i = 0; i <= second % 8; ++i) cluster.unsafe_online_unkeyed(first + i);
       break;
     case Action::kSubmit:
-      world.submit(first, second % kKeys, items_of(second % kKeys));
+      cluster.submit(first, second % kKeys, item_count_of(second % kKeys));
       break;
     case Action::kSubmitTwice:
-      world.submit(first, second % kKeys, items_of(second % kKeys));
-      world.submit(first + 1, second % kKeys, items_of(second % kKeys));
+      cluster.submit(first, second % kKeys, item_count_of(second % kKeys));
+      cluster.submit(first + 1, second % kKeys, item_count_of(second % kKeys));
       break;
     case Action::kCancel:
-      world.cancel(first, second % kKeys);
+      cluster.cancel(first, second % kKeys);
       break;
     case Action::kReadStatus:
-      world.read_status(first, second % kKeys);
+      cluster.read_status(first, second % kKeys);
       break;
     case Action::kReadResults:
-      world.read_results(first, second % kKeys);
+      cluster.read_results(first, second % kKeys);
       break;
     case Action::kChange:
       for (std::uint32_t i = 0; i <= second % 4; ++i) {
-        world.change(first, 1 + i, std::nullopt, 1 + (second + i) % 9);
+        cluster.change(first, 1 + i, std::nullopt, 1 + (second + i) % 9);
       }
       break;
     case Action::kChangeRace:
-      world.change(first, 1 + second % 2, std::nullopt, 1 + second % 9);
-      world.change(first + 1, 1 + second % 2, std::nullopt, 2 + second % 9);
+      cluster.change(first, 1 + second % 2, std::nullopt, 1 + second % 9);
+      cluster.change(first + 1, 1 + second % 2, std::nullopt, 2 + second % 9);
       break;
     default:
       break;
   }
 }
 
-void disturb_nodes(World& world, const Command& command) {
+void inject_node_fault(SimulatedCluster& cluster, const Command& command) {
   const std::uint32_t first = command.first;
   switch (command.action) {
     case Action::kCrash:
-      world.crash(first);
+      cluster.crash(first);
       break;
     case Action::kRestart:
-      world.restart(first);
+      cluster.restart(first);
       break;
     case Action::kFreeze:
-      world.freeze(first);
+      cluster.freeze(first);
       break;
-    case Action::kWake:
-      world.wake(first);
+    case Action::kUnfreeze:
+      cluster.unfreeze(first);
       break;
     case Action::kDrain:
-      world.drain(first);
+      cluster.drain(first);
       break;
     case Action::kCutOneWay:
-      world.cut(first, command.second, false);
+      cluster.cut(first, command.second, false);
       break;
     case Action::kCutBothWays:
-      world.cut(first, command.second, true);
+      cluster.cut(first, command.second, true);
       break;
     case Action::kHealLinks:
-      world.heal_links();
+      cluster.heal_links();
       break;
     case Action::kReorder:
-      world.set_reorder(true);
+      cluster.set_reorder(true);
       break;
     case Action::kInOrder:
-      world.set_reorder(false);
+      cluster.set_reorder(false);
       break;
     default:
       break;
   }
 }
 
-void disturb_log(World& world, const Command& command) {
-  auto& faults = world.log().faults();
+void inject_log_fault(SimulatedCluster& cluster, const Command& command) {
+  auto& faults = cluster.log().faults();
   switch (command.action) {
     case Action::kLogOutage:
       faults.outage = true;
       break;
     case Action::kLogSlow:
-      faults.slowness = std::chrono::milliseconds(command.second % 900);
+      faults.added_latency = std::chrono::milliseconds(command.second % 900);
       break;
-    case Action::kLogLosesAnswers:
-      faults.lost_answers = 20 + command.second % 60;
+    case Action::kLogLosesResponses:
+      faults.lost_responses = 20 + command.second % 60;
       break;
-    case Action::kLogAppendsLate:
-      faults.late_appends = 20 + command.second % 60;
+    case Action::kLogDelaysAppends:
+      faults.delayed_appends = 20 + command.second % 60;
       break;
     case Action::kLogCutFromNode:
-      faults.cut_nodes.insert(command.first % world.node_count());
+      faults.cut_nodes.insert(command.first % cluster.node_count());
       break;
     case Action::kLogHeals:
       faults = {};
@@ -142,8 +142,8 @@
   }
 }
 
-void disturb_engines(World& world, const Command& command) {
-  auto& engine = world.engine(command.first);
+void inject_engine_fault(SimulatedCluster& cluster, const Command& command) {
+  auto& engine = cluster.engine(command.first);
   auto& faults = engine.faults();
   switch (command.action) {
     case Action::kEngineDown:
@@ -162,38 +162,38 @@
       faults.slow_factor = 1 + static_cast<int>(command.second % 20);
       break;
     case Action::kEngineLeaves:
-      world.set_leaving(command.first, true);
+      cluster.set_leaving(command.first, true);
       break;
     case Action::kEngineHeals:
       faults = {};
-      world.set_leaving(command.first, false);
+      cluster.set_leaving(command.first, false);
       break;
     default:
       return;
   }
-  engine.faults_changed();
+  engine.apply_faults();
 }
 
 }  // namespace
 
 std::ostream& operator<<(std::ostream& stream, const Command& command) {
-  return stream << kNames[static_cast<std::size_t>(command.action)] << "(" << command.first << ", "
-                << command.second << ", +" << command.pause_ms << "ms)";
+  return stream << kActionNames[static_cast<std::size_t>(command.action)] << "(" << command.first
+                << ", " << command.second << ", +" << command.pause_ms << "ms)";
 }
 
 RunResult run_commands(std::uint64_t seed, const std::vector<Command>& commands) {
-  World world(seed);
+  SimulatedCluster cluster(seed);
   std::uint64_t faults = 0;
   for (const auto& command : commands) {
-    call_as_client(world, command);
-    disturb_nodes(world, command);
-    disturb_log(world, command);
-    disturb_engines(world, command);
+    run_client_action(cluster, command);
+    inject_node_fault(cluster, command);
+    inject_log_fault(cluster, command);
+    inject_engine_fault(cluster, command);
     if (command.action >= Action::kCrash && command.action != Action::kWait) ++faults;
-    world.run_for(std::chrono::milliseconds(command.pause_ms));
+    cluster.run_for(std::chrono::milliseconds(command.pause_ms));
   }
-  world.finish();
-  return {world.oracle().violations(), world.oracle().operations(), faults};
+  cluster.finish();
+  return {cluster.oracle().violations(), cluster.oracle().operations(), faults};
 }
 
 }  // namespace stoathold::fuzz
--- a/tests/fuzz/commands.h
+++ b/tests/fuzz/commands.h
@@ -1,5 +1,5 @@
 /// @file
-/// The commands that the fuzzer strings together, and how they act on the simulated fleet.
+/// Commands that the fuzzer generates, and their execution on the simulated cluster.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,23 @@
 
 namespace stoathold::fuzz {
 
-/// What a command does. Every command may come at any moment; one that cannot apply does nothing.
+/// Action of a command. Any sequence of commands is valid; an inapplicable one has no effect.
 enum class Action : std::uint8_t {
   kOnlineBurst,
   kUnsafeKeyed,
-  kUnsafeKeyedTwice,  ///< The same key through two nodes at once.
+  kUnsafeKeyedTwice,  ///< Sends the same key to two nodes concurrently.
   kUnsafeUnkeyed,
   kSubmit,
-  kSubmitTwice,  ///< The same job through two nodes at once.
+  kSubmitTwice,  ///< Submits the same job to two nodes concurrently.
   kCancel,
   kReadStatus,
   kReadResults,
   kChange,
-  kChangeRace,  ///< Two operators change the same version through two nodes.
+  kChangeRace,  ///< Two operators change the same version on two nodes.
   kCrash,
   kRestart,
   kFreeze,
-  kWake,
+  kUnfreeze,
   kDrain,
   kCutOneWay,
   kCutBothWays,
@@ -35,8 +35,8 @@
   kInOrder,
   kLogOutage,
   kLogSlow,
-  kLogLosesAnswers,
-  kLogAppendsLate,
+  kLogLosesResponses,
+  kLogDelaysAppends,
   kLogCutFromNode,
   kLogHeals,
   kEngineDown,
@@ -49,27 +49,26 @@
   kWait,
 };
 
-/// Number of actions.
 inline constexpr int kActionCount = static_cast<int>(Action::kWait) + 1;
 
-/// One command with its operands; their meaning depends on the action.
+/// A command. The meaning of its operands depends on the action.
 struct Command {
   Action action = Action::kWait;
   std::uint32_t first = 0;
   std::uint32_t second = 0;
-  std::uint32_t pause_ms = 0;  ///< Simulated time that passes after the command.
+  std::uint32_t pause_ms = 0;  ///< Simulated time to run after the command.
 };
 
-/// Prints a command so that a failure can be read and replayed.
+/// Prints a command with its operands, so that a failing sequence can be replayed.
 std::ostream& operator<<(std::ostream& stream, const Command& command);
 
-/// Runs commands on a fleet, then lets everything heal and checks the end.
-/// @return the fleet's oracle's violations; empty if every promise held.
+/// Result of one run.
 struct RunResult {
-  std::vector<std::string> violations;
+  std::vector<std::string> violations;  ///< Of the oracle; empty if every guarantee held.
   std::uint64_t operations = 0;
   std::uint64_t faults = 0;
 };
+/// Runs commands on a new cluster, then heals all faults and checks the final state.
 RunResult run_commands(std::uint64_t seed, const std::vector<Command>& commands);
 
 }  // namespace stoathold::fuzz
--- a/tests/fuzz/event_queue.h
+++ b/tests/fuzz/event_queue.h
@@ -1,5 +1,6 @@
 /// @file
-/// The simulation's clock: events in the order of their time, and of their making within one time.
+/// The simulation's clock and event queue. Events run in order of time; events of the same time run
+/// in the order of their creation.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +12,19 @@
 
 namespace stoathold::fuzz {
 
-/// Discrete event queue. One thread.
+/// Discrete event queue. Not thread safe.
 class EventQueue {
  public:
   using Action = std::function<void()>;
 
   [[nodiscard]] TimePoint now() const { return now_; }
 
+  /// Schedules an action to run `delay` from now.
   void after(Duration delay, Action action) {
-    queue_.push({now_ + delay, ++last_number_, std::move(action)});
+    queue_.push({now_ + delay, ++last_sequence_, std::move(action)});
   }
 
-  /// Runs every event up to `end`, then sets the clock to `end`.
+  /// Runs all events up to and including `end`, then sets the clock to `end`.
   void run_until(TimePoint end) {
     while (!queue_.empty() && queue_.top().time <= end) {
       Action action = std::move(const_cast<Entry&>(queue_.top()).action);
@@ -36,16 +38,16 @@
  private:
   struct Entry {
     TimePoint time;
-    std::uint64_t number = 0;
+    std::uint64_t sequence = 0;
     Action action;
     bool operator<(const Entry& other) const {
       if (time != other.time) return time > other.time;
-      return number > other.number;
+      return sequence > other.sequence;
     }
   };
 
   TimePoint now_{std::chrono::seconds(1)};
-  std::uint64_t last_number_ = 0;
+  std::uint64_t last_sequence_ = 0;
   std::priority_queue<Entry> queue_;
 };
 
--- a/tests/fuzz/fuzz_main.cc
+++ b/tests/fuzz/fuzz_main.cc
@@ -1,8 +1,9 @@
 /// @file
-/// The stateful fuzzer: RapidCheck strings commands together, the oracle judges, failures shrink.
+/// Stateful fuzzer: RapidCheck generates command sequences, the oracle checks every run, and
+/// RapidCheck shrinks failing sequences.
 ///
 /// `stoathold_fuzz --seed N --runs N [--size N] [--without MECHANISM...] [--expect-broken]`. A
-/// failure prints the seed, the shrunken commands and the broken promises, and exits with 1.
+/// failure prints the seed, the shrunk commands and the violated guarantees, and exits with 1.
 #include <rapidcheck.h>
 
 #include <CLI/CLI.hpp>
@@ -21,7 +22,7 @@
 using stoathold::fuzz::Action;
 using stoathold::fuzz::Command;
 
-/// Mechanisms that can be turned off, to show that the fuzzer notices.
+/// Mechanisms that `--without` can disable, to verify that the fuzzer detects their absence.
 const std::map<std::string, bool PolicySwitches::*> kMechanisms{
     {"fence_by_epoch", &PolicySwitches::fence_by_epoch},
     {"drop_repeated_appends", &PolicySwitches::drop_repeated_appends},
@@ -40,8 +41,8 @@
     {"honest_not_run", &PolicySwitches::honest_not_run},
 };
 
-/// Callers' commands come about as often as faults, so that faults have something to hurt.
-rc::Gen<Command> any_command() {
+/// Generates client commands and faults at a ratio of 3 to 2, so that faults hit ongoing work.
+rc::Gen<Command> command_generator() {
   const auto client = rc::gen::inRange(0, static_cast<int>(Action::kCrash));
   const auto fault =
       rc::gen::inRange(static_cast<int>(Action::kCrash), stoathold::fuzz::kActionCount);
@@ -64,9 +65,10 @@
 };
 
 bool fuzz(Totals& totals) {
-  return rc::check("every promise holds under any commands and faults", [&totals] {
+  return rc::check("every guarantee holds under any commands and faults", [&totals] {
     const auto seed = *rc::gen::inRange<std::uint64_t>(0, 1ULL << 30U).as("simulation seed");
-    const auto commands = *rc::gen::container<std::vector<Command>>(any_command()).as("commands");
+    const auto commands =
+        *rc::gen::container<std::vector<Command>>(command_generator()).as("commands");
     const auto result = stoathold::fuzz::run_commands(seed, commands);
     ++totals.runs;
     totals.operations += result.operations;
@@ -79,22 +81,22 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Stateful fuzzing of a simulated fleet against a simple oracle."};
+  CLI::App app{"Stateful fuzzing of a simulated cluster against a model."};
   std::uint64_t seed = 1;
   std::uint64_t runs = 200;
   std::uint64_t size = 60;
   std::vector<std::string> without;
   bool expect_broken = false;
-  app.add_option("--seed", seed, "Seed of the commands");
-  app.add_option("--runs", runs, "Fleets to simulate");
-  app.add_option("--size", size, "Most commands in one run");
-  app.add_option("--without", without, "Turn these mechanisms off: the run must then fail");
-  app.add_flag("--expect-broken", expect_broken, "Exit with 0 only if a promise was broken");
+  app.add_option("--seed", seed, "Seed of the command generator");
+  app.add_option("--runs", runs, "Number of runs");
+  app.add_option("--size", size, "Maximum number of commands in a run");
+  app.add_option("--without", without, "Mechanisms to disable");
+  app.add_flag("--expect-broken", expect_broken, "Exit with 0 only if a guarantee was violated");
   CLI11_PARSE(app, argc, argv);
   for (const auto& name : without) {
     const auto found = kMechanisms.find(name);
     if (found == kMechanisms.end()) {
-      std::cerr << "no mechanism '" << name << "'\n";
+      std::cerr << "unknown mechanism '" << name << "'\n";
       return 2;
     }
     stoathold::policy_switches().*(found->second) = false;
@@ -107,6 +109,6 @@
   const bool held = fuzz(totals);
   std::cout << "fuzz: seed " << seed << ", " << totals.runs << " runs, " << totals.operations
             << " client operations, " << totals.faults
-            << " faults: " << (held ? "every promise held" : "A PROMISE WAS BROKEN") << "\n";
+            << " faults: " << (held ? "every guarantee held" : "A GUARANTEE WAS VIOLATED") << "\n";
   return held == expect_broken ? 1 : 0;
 }
--- a/tests/fuzz/simulated_engine.cc
+++ b/tests/fuzz/simulated_engine.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint32_t kTokensPerStep = 3;
-constexpr Duration kStep = std::chrono::milliseconds(25);
+constexpr Duration kStepPeriod = std::chrono::milliseconds(25);
 
 }  // namespace
 
@@ -17,7 +17,7 @@
   return std::to_string(mix_hashes(fingerprint, index) % 97) + " ";
 }
 
-std::string simulated_answer(std::uint64_t fingerprint, std::uint32_t tokens) {
+std::string simulated_response(std::uint64_t fingerprint, std::uint32_t tokens) {
   std::string text;
   for (std::uint32_t i = 1; i <= tokens; ++i) text += simulated_token(fingerprint, i);
   return text;
@@ -49,7 +49,7 @@
 
 void SimulatedEngine::schedule_step(std::uint64_t stream) {
   const Duration jitter{random_.below(5000)};
-  events_.after(kStep * faults_.slow_factor + jitter, [this, stream] { step(stream); });
+  events_.after(kStepPeriod * faults_.slow_factor + jitter, [this, stream] { step(stream); });
 }
 
 void SimulatedEngine::step(std::uint64_t id) {
@@ -62,20 +62,21 @@
     bytes += "id: " + std::to_string(stream.sent) +
              "\ndata: " + simulated_token(stream.work.fingerprint, stream.sent) + "\n\n";
   }
-  const bool whole = stream.sent >= stream.work.tokens;
-  const bool breaks = faults_.break_after_tokens > 0 && stream.sent >= faults_.break_after_tokens;
-  if (whole && !breaks) bytes += kEndEvent;
+  const bool complete = stream.sent >= stream.work.tokens;
+  const bool broken_off =
+      faults_.break_after_tokens > 0 && stream.sent >= faults_.break_after_tokens;
+  if (complete && !broken_off) bytes += kEndEvent;
   const Deliver deliver = stream.deliver;
-  if (whole || breaks) {
+  if (complete || broken_off) {
     streams_.erase(found);
   } else {
     schedule_step(id);
   }
-  deliver(bytes, whole || breaks);
-  if (whole || breaks) admit();
+  deliver(bytes, complete || broken_off);
+  if (complete || broken_off) admit();
 }
 
-void SimulatedEngine::faults_changed() {
+void SimulatedEngine::apply_faults() {
   if (faults_.down) {
     auto lost = std::exchange(streams_, {});
     for (auto& [id, stream] : lost) {
--- a/tests/fuzz/simulated_engine.h
+++ b/tests/fuzz/simulated_engine.h
@@ -1,5 +1,5 @@
 /// @file
-/// A model engine in the simulation, with its faults. Its answers are a pure function of the work.
+/// Simulated model engine with injectable faults. Its output is a pure function of the work.
 #pragma once
 
 #include <cstdint>
@@ -15,17 +15,17 @@
 
 namespace stoathold::fuzz {
 
-/// Whether an engine serves, and how badly.
+/// Injected faults of an engine.
 struct EngineFaults {
-  bool down = false;                     ///< Refuses connections; running streams are lost.
-  bool frozen = false;                   ///< Takes streams and says nothing until it wakes.
-  bool refusing = false;                 ///< Answers health checks but fails requests.
-  bool leaving = false;                  ///< Reports that it leaves.
-  std::uint32_t break_after_tokens = 0;  ///< Breaks each stream off there; 0: never.
+  bool down = false;                     ///< Refuses connections; running streams break.
+  bool frozen = false;                   ///< Accepts streams but sends nothing.
+  bool refusing = false;                 ///< Passes health checks but rejects requests.
+  bool leaving = false;                  ///< Reports that it is leaving.
+  std::uint32_t break_after_tokens = 0;  ///< Breaks each stream at this token; 0: never.
   int slow_factor = 1;
 };
 
-/// What a stream asks for.
+/// The generation that a stream requests.
 struct EngineWork {
   std::uint64_t fingerprint = 0;
   std::uint32_t tokens = 0;
@@ -33,27 +33,27 @@
   bool online = true;
 };
 
-/// One engine. Streams deliver server-sent events to their opener. One thread.
+/// A simulated engine, which delivers server-sent events to its streams. Not thread safe.
 class SimulatedEngine {
  public:
-  /// Takes events (`bytes` empty and `over` true at the end of the stream).
-  using Deliver = std::function<void(const std::string& bytes, bool over)>;
+  /// Receives events of a stream; `ended` marks the last call, which may have no bytes.
+  using Deliver = std::function<void(const std::string& bytes, bool ended)>;
 
   SimulatedEngine(std::string name, std::uint32_t slots, EventQueue& events, Random& random)
       : name_(std::move(name)), slots_(slots), events_(events), random_(random) {}
 
   /// Opens a stream.
-  /// @return the outcome if it ends at once (not sent, refused); nothing if it runs.
+  /// @return the outcome if the stream is rejected immediately; nothing if it was accepted.
   std::optional<StreamOutcome> open(std::uint64_t stream, const EngineWork& work, Deliver deliver);
-  /// Stops a stream; nothing is delivered any more.
+  /// Closes a stream; nothing more is delivered.
   void close(std::uint64_t stream) { streams_.erase(stream); }
-  /// Applies changes of `faults()`.
-  void faults_changed();
+  /// Applies the changes made through `faults()`.
+  void apply_faults();
 
   EngineFaults& faults() { return faults_; }
   [[nodiscard]] const std::string& name() const { return name_; }
   [[nodiscard]] RunnerLoad load() const;
-  /// Longest time an online stream waited for a slot that a batch stream held.
+  /// Longest time that an online stream waited for a slot.
   [[nodiscard]] Duration longest_wait_behind_batch() const { return longest_wait_; }
 
  private:
@@ -78,9 +78,9 @@
   Duration longest_wait_{0};
 };
 
-/// Token `index` (from 1) of the answer to a work.
+/// Returns token `index` (from 1) of the response.
 std::string simulated_token(std::uint64_t fingerprint, std::uint32_t index);
-/// The whole answer to a work.
-std::string simulated_answer(std::uint64_t fingerprint, std::uint32_t tokens);
+/// Returns the complete response.
+std::string simulated_response(std::uint64_t fingerprint, std::uint32_t tokens);
 
 }  // namespace stoathold::fuzz
--- a/tests/fuzz/simulated_log.cc
+++ b/tests/fuzz/simulated_log.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr Duration kCallTimeout = std::chrono::milliseconds(2000);
-constexpr std::uint64_t kHundred = 100;
+constexpr std::uint64_t kPercent = 100;
 
 }  // namespace
 
@@ -24,13 +24,13 @@
     events_.after(kCallTimeout, unknown);
     return;
   }
-  if (random_.below(kHundred) < faults_.late_appends) {
+  if (random_.below(kPercent) < faults_.delayed_appends) {
     const Duration late = std::chrono::milliseconds(random_.below(6000));
     events_.after(late, [this, stream, bytes] { store(stream, bytes); });
     events_.after(kCallTimeout, unknown);
     return;
   }
-  const bool lost = random_.below(kHundred) < faults_.lost_answers;
+  const bool lost = random_.below(kPercent) < faults_.lost_responses;
   events_.after(delay(), [this, stream, bytes, done, unknown, lost] {
     const Offset offset = store(stream, bytes);
     if (lost) {
--- a/tests/fuzz/simulated_log.h
+++ b/tests/fuzz/simulated_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's log in the simulation, with its faults.
+/// Simulation of the platform's log with injectable faults.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,16 @@
 
 namespace stoathold::fuzz {
 
-/// Faults of the log; chances are in percent.
+/// Injected faults of the log; probabilities are in percent.
 struct LogFaults {
   bool outage = false;
-  Duration slowness{0};             ///< Added to every call.
-  std::uint32_t lost_answers = 0;   ///< Appended, answered as unknown.
-  std::uint32_t late_appends = 0;   ///< Answered as unknown, appended seconds later.
-  std::set<std::size_t> cut_nodes;  ///< Nodes that do not reach the log.
+  Duration added_latency{0};          ///< Added to the delay of each request and response.
+  std::uint32_t lost_responses = 0;   ///< Appended, but reported as unknown.
+  std::uint32_t delayed_appends = 0;  ///< Reported as unknown, appended up to 6 s later.
+  std::set<std::size_t> cut_nodes;    ///< Nodes that cannot reach the log.
 };
 
-/// An append-only log. One thread.
+/// An append-only log. Not thread safe.
 class SimulatedLog {
  public:
   using Appended = std::function<void(LogStatus, Offset)>;
@@ -44,7 +44,7 @@
   [[nodiscard]] bool reachable(std::size_t node) const {
     return !faults_.outage && !faults_.cut_nodes.contains(node);
   }
-  Duration delay() { return Duration{1000 + random_.below(4000)} + faults_.slowness; }
+  Duration delay() { return Duration{1000 + random_.below(4000)} + faults_.added_latency; }
   Offset store(const std::string& stream, const std::string& bytes);
 
   EventQueue& events_;
--- a/tests/fuzz/world.cc
+++ b/tests/fuzz/world.cc
@@ -6,13 +6,13 @@
 namespace stoathold::fuzz {
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(50);
-constexpr Duration kPlatformPeriod = std::chrono::milliseconds(250);
+constexpr Duration kTickPeriod = std::chrono::milliseconds(50);
+constexpr Duration kPlatformPollPeriod = std::chrono::milliseconds(250);
 constexpr Duration kTokenTimeout = std::chrono::seconds(5);
 constexpr Duration kLeavingGrace = std::chrono::milliseconds(3000);
-/// Lag of the machine list, which tells of leaving runners where nodes cannot.
+/// Lag of the machine list, the only source for leaving runners that their nodes cannot report.
 constexpr Duration kMachineListLag = std::chrono::milliseconds(5000);
-constexpr Duration kDrainBound = std::chrono::seconds(30);
+constexpr Duration kDrainTimeout = std::chrono::seconds(30);
 constexpr Duration kQuiescenceStep = std::chrono::seconds(1);
 constexpr int kQuiescenceSteps = 150;
 constexpr std::uint32_t kShards = 4;
@@ -35,7 +35,8 @@
 
 }  // namespace
 
-World::World(std::uint64_t seed, WorldSize size) : random_(seed), log_(events_, random_) {
+SimulatedCluster::SimulatedCluster(std::uint64_t seed, ClusterSize size)
+    : random_(seed), log_(events_, random_) {
   knobs_.shard_count = kShards;
   knobs_.snapshot_interval = 20;
   knobs_.items_per_record = 4;
@@ -56,35 +57,37 @@
   run_for(std::chrono::seconds(4));
 }
 
-World::~World() = default;
+SimulatedCluster::~SimulatedCluster() = default;
 
-JobId World::job_id(std::uint64_t key) {
+JobId SimulatedCluster::job_id(std::uint64_t key) {
   return job_id_from_key(kTenant, std::to_string(key));
 }
 
-void World::run_for(Duration duration) {
+void SimulatedCluster::run_for(Duration duration) {
   events_.run_until(events_.now() + duration);
 }
 
 // ---- nodes -------------------------------------------------------------------------------------
 
-void World::start_node(std::size_t index) {
+void SimulatedCluster::start_node(std::size_t index) {
   auto& node = nodes_[index];
   node.start = ++last_start_;
   node.frozen = false;
   node.draining = false;
-  node.disturbed = events_.now();
+  node.disrupted_at = events_.now();
   node.deferred.clear();
   const NodeIdentity identity{node_name(index), "region", node.zone, node_name(index),
                               Incarnation{node.start}};
   node.core = std::make_unique<NodeCore>(identity, knobs_, random_.next());
-  publish_machines(index);
+  deliver_machine_list(index);
   schedule_tick(index, node.start);
-  schedule_platform(index, node.start);
+  schedule_platform_poll(index, node.start);
 }
 
-/// Runs an action at a node: later if it is frozen, never if it was lost or started anew meanwhile.
-void World::on_node(std::size_t index, std::uint64_t start, std::function<void()> action) {
+/// Runs an action on a node: deferred while the node is frozen, dropped if it crashed or restarted
+/// since `start`.
+void SimulatedCluster::on_node(std::size_t index, std::uint64_t start,
+                               std::function<void()> action) {
   auto& node = nodes_[index];
   if (!node.core || node.start != start) return;
   if (node.frozen) {
@@ -94,18 +97,18 @@
   }
 }
 
-void World::schedule_tick(std::size_t index, std::uint64_t start) {
-  events_.after(kTick, [this, index, start] {
+void SimulatedCluster::schedule_tick(std::size_t index, std::uint64_t start) {
+  events_.after(kTickPeriod, [this, index, start] {
     on_node(index, start, [this, index, start] {
       Effects effects;
       nodes_[index].core->tick(events_.now(), effects);
-      carry_out(index, std::move(effects));
+      execute_effects(index, std::move(effects));
       schedule_tick(index, start);
     });
   });
 }
 
-void World::publish_machines(std::size_t index) {
+void SimulatedCluster::deliver_machine_list(std::size_t index) {
   std::vector<ListedNode> nodes;
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     nodes.push_back({node_name(i), "region", nodes_[i].zone, node_name(i), false});
@@ -120,11 +123,11 @@
   nodes_[index].core->on_machine_list(nodes, runners);
 }
 
-void World::schedule_platform(std::size_t index, std::uint64_t start) {
-  events_.after(kPlatformPeriod, [this, index, start] {
+void SimulatedCluster::schedule_platform_poll(std::size_t index, std::uint64_t start) {
+  events_.after(kPlatformPollPeriod, [this, index, start] {
     on_node(index, start, [this, index, start] {
       read_configuration(index);
-      publish_machines(index);
+      deliver_machine_list(index);
       for (const auto& owned : nodes_[index].core->batch().owned_loads()) {
         for (auto& engine : engines_) {
           const bool same = runner_id_from_name(engine.engine->name()) == owned.runner;
@@ -132,15 +135,15 @@
           if (!same || faults.down || faults.frozen) continue;
           Effects effects;
           nodes_[index].core->on_load_report(engine.engine->load(), events_.now(), effects);
-          carry_out(index, std::move(effects));
+          execute_effects(index, std::move(effects));
         }
       }
-      schedule_platform(index, start);
+      schedule_platform_poll(index, start);
     });
   });
 }
 
-void World::read_configuration(std::size_t index) {
+void SimulatedCluster::read_configuration(std::size_t index) {
   const auto& node = nodes_[index];
   if (!node.core->readiness().ready) return;
   for (const auto& resource : node.core->configuration().list("")) {
@@ -149,25 +152,25 @@
   }
 }
 
-void World::break_connections(std::size_t index) {
+void SimulatedCluster::break_connections(std::size_t index) {
   auto& node = nodes_[index];
   for (auto& [id, session] : std::exchange(node.sessions, {})) {
-    oracle_.online_ended(session.call, Seen::kUnknown, "", "");
+    oracle_.online_ended(session.call, CallOutcome::kUnknown, "", "");
   }
   for (const auto& [call, job] : std::exchange(node.job_calls, {})) {
-    if (job.kind == JobCall::Kind::kSubmit) oracle_.submit_ended(job.key, Seen::kUnknown, 0);
-    if (job.kind == JobCall::Kind::kCancel) oracle_.cancel_ended(job.key, Seen::kUnknown, 0);
+    if (job.kind == JobCall::Kind::kSubmit) oracle_.submit_ended(job.key, CallOutcome::kUnknown, 0);
+    if (job.kind == JobCall::Kind::kCancel) oracle_.cancel_ended(job.key, CallOutcome::kUnknown, 0);
   }
   node.change_calls.clear();
 }
 
-void World::close_streams(std::size_t index) {
+void SimulatedCluster::close_streams(std::size_t index) {
   for (auto& [id, stream] : std::exchange(nodes_[index].streams, {})) {
     engines_[stream.engine].engine->close(stream.global);
   }
 }
 
-void World::crash(std::size_t node) {
+void SimulatedCluster::crash(std::size_t node) {
   const std::size_t index = node % nodes_.size();
   if (!nodes_[index].core) return;
   break_connections(index);
@@ -176,55 +179,55 @@
   nodes_[index].deferred.clear();
 }
 
-void World::restart(std::size_t node) {
+void SimulatedCluster::restart(std::size_t node) {
   const std::size_t index = node % nodes_.size();
   if (nodes_[index].core) return;
   start_node(index);
 }
 
-void World::freeze(std::size_t node) {
+void SimulatedCluster::freeze(std::size_t node) {
   const std::size_t index = node % nodes_.size();
   if (!nodes_[index].core || nodes_[index].frozen) return;
   nodes_[index].frozen = true;
 }
 
-void World::wake(std::size_t node) {
+void SimulatedCluster::unfreeze(std::size_t node) {
   const std::size_t index = node % nodes_.size();
   auto& target = nodes_[index];
   if (!target.core || !target.frozen) return;
   target.frozen = false;
-  target.disturbed = events_.now();
+  target.disrupted_at = events_.now();
   const std::uint64_t start = target.start;
   auto deferred = std::exchange(target.deferred, {});
   for (auto& action : deferred) on_node(index, start, std::move(action));
 }
 
-void World::drain(std::size_t node) {
+void SimulatedCluster::drain(std::size_t node) {
   const std::size_t index = node % nodes_.size();
   auto& target = nodes_[index];
-  if (!serves(index) || target.draining) return;
+  if (!is_serving(index) || target.draining) return;
   target.draining = true;
   Effects effects;
   target.core->start_drain(events_.now(), effects);
-  carry_out(index, std::move(effects));
+  execute_effects(index, std::move(effects));
   const std::uint64_t start = target.start;
   check_drained(index, start);
-  events_.after(kDrainBound,
+  events_.after(kDrainTimeout,
                 [this, index, start] { on_node(index, start, [this, index] { crash(index); }); });
 }
 
-void World::check_drained(std::size_t index, std::uint64_t start) {
+void SimulatedCluster::check_drained(std::size_t index, std::uint64_t start) {
   on_node(index, start, [this, index, start] {
     auto& node = nodes_[index];
     if (!node.core->drained()) {
-      events_.after(kTick, [this, index, start] { check_drained(index, start); });
+      events_.after(kTickPeriod, [this, index, start] { check_drained(index, start); });
       return;
     }
     Effects effects;
     node.core->leave(events_.now(), effects);
-    carry_out(index, std::move(effects));
+    execute_effects(index, std::move(effects));
     for (const auto& [id, session] : node.sessions) {
-      oracle_.connection_cut_by_planned_stop(session.call);
+      oracle_.connection_lost_in_planned_shutdown(session.call);
     }
     break_connections(index);
     close_streams(index);
@@ -233,7 +236,7 @@
   });
 }
 
-void World::cut(std::size_t from, std::size_t to, bool both_ways) {
+void SimulatedCluster::cut(std::size_t from, std::size_t to, bool both_ways) {
   const std::size_t left = from % nodes_.size();
   const std::size_t right = to % nodes_.size();
   if (left == right) return;
@@ -241,11 +244,11 @@
   if (both_ways) cut_links_.insert({right, left});
 }
 
-void World::heal_links() {
+void SimulatedCluster::heal_links() {
   cut_links_.clear();
 }
 
-void World::set_leaving(std::size_t index, bool leaving) {
+void SimulatedCluster::set_leaving(std::size_t index, bool leaving) {
   auto& engine = engines_[index % engines_.size()];
   engine.engine->faults().leaving = leaving;
   if (!leaving) {
@@ -255,7 +258,7 @@
   }
 }
 
-std::optional<std::size_t> World::index_of(const std::string& address) const {
+std::optional<std::size_t> SimulatedCluster::index_of(const std::string& address) const {
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     if (node_name(i) == address) return i;
   }
@@ -264,15 +267,15 @@
 
 // ---- effects -----------------------------------------------------------------------------------
 
-void World::carry_out(std::size_t index, Effects effects) {
+void SimulatedCluster::execute_effects(std::size_t index, Effects effects) {
   const std::uint64_t start = nodes_[index].start;
   for (auto& effect : effects) {
     if (!nodes_[index].core || nodes_[index].start != start) return;
-    std::visit([&](auto& typed) { perform(index, typed); }, effect);
+    std::visit([&](auto& typed) { execute_effect(index, typed); }, effect);
   }
 }
 
-void World::perform(std::size_t index, SendToPeer& effect) {
+void SimulatedCluster::execute_effect(std::size_t index, SendToPeer& effect) {
   const auto target = index_of(effect.address);
   if (!target || cut_links_.contains({index, *target})) return;
   const NodeId sender = node_id_from_name(node_name(index));
@@ -290,12 +293,12 @@
     on_node(to, nodes_[to].start, [this, to, sender, message] {
       Effects effects;
       nodes_[to].core->on_peer_message(sender, message, events_.now(), effects);
-      carry_out(to, std::move(effects));
+      execute_effects(to, std::move(effects));
     });
   });
 }
 
-void World::perform(std::size_t index, AppendToLog& effect) {
+void SimulatedCluster::execute_effect(std::size_t index, AppendToLog& effect) {
   const std::uint64_t start = nodes_[index].start;
   log_.append(index, effect.stream, effect.bytes,
               [this, index, start, stream = effect.stream, token = effect.token](LogStatus status,
@@ -304,12 +307,12 @@
                   Effects effects;
                   nodes_[index].core->on_log_appended(stream, token, status, offset, events_.now(),
                                                       effects);
-                  carry_out(index, std::move(effects));
+                  execute_effects(index, std::move(effects));
                 });
               });
 }
 
-void World::perform(std::size_t index, ReadFromLog& effect) {
+void SimulatedCluster::execute_effect(std::size_t index, ReadFromLog& effect) {
   const std::uint64_t start = nodes_[index].start;
   log_.read(index, effect.stream, effect.from, effect.limit,
             [this, index, start, stream = effect.stream, token = effect.token](
@@ -318,12 +321,12 @@
                 Effects effects;
                 nodes_[index].core->on_log_read(stream, token, status, entries, head, events_.now(),
                                                 effects);
-                carry_out(index, std::move(effects));
+                execute_effects(index, std::move(effects));
               });
             });
 }
 
-void World::perform(std::size_t index, ReadLogHead& effect) {
+void SimulatedCluster::execute_effect(std::size_t index, ReadLogHead& effect) {
   const std::uint64_t start = nodes_[index].start;
   log_.head(index, effect.stream,
             [this, index, start, stream = effect.stream, token = effect.token](LogStatus status,
@@ -332,28 +335,28 @@
                 Effects effects;
                 nodes_[index].core->on_log_head(stream, token, status, head, events_.now(),
                                                 effects);
-                carry_out(index, std::move(effects));
+                execute_effects(index, std::move(effects));
               });
             });
 }
 
-void World::check_leaving(std::size_t index, std::size_t engine) {
+void SimulatedCluster::check_leaving(std::size_t index, std::size_t engine) {
   const auto& since = engines_[engine].leaving_since;
   if (!since) return;
-  const auto disturbed = [&](const Node& node) {
-    return !node.core || node.frozen || events_.now() - node.disturbed < kMachineListLag;
+  const auto recently_disrupted = [&](const Node& node) {
+    return !node.core || node.frozen || events_.now() - node.disrupted_at < kMachineListLag;
   };
-  // A frozen engine cannot say that it leaves; then only the machine list tells.
-  const bool speaks = !engines_[engine].engine->faults().frozen;
-  const bool calm = speaks && cut_links_.empty() && !reorder_ &&
-                    std::none_of(nodes_.begin(), nodes_.end(), disturbed);
-  const Duration grace = calm ? kLeavingGrace : kLeavingGrace + kMachineListLag;
+  // A frozen engine cannot report that it is leaving; only the machine list shows it.
+  const bool engine_responds = !engines_[engine].engine->faults().frozen;
+  const bool undisturbed = engine_responds && cut_links_.empty() && !reorder_ &&
+                           std::none_of(nodes_.begin(), nodes_.end(), recently_disrupted);
+  const Duration grace = undisturbed ? kLeavingGrace : kLeavingGrace + kMachineListLag;
   if (events_.now() - *since < grace) return;
-  if (events_.now() - nodes_[index].disturbed < kLeavingGrace) return;
-  oracle_.leaving_runner_got_work(engines_[engine].engine->name());
+  if (events_.now() - nodes_[index].disrupted_at < kLeavingGrace) return;
+  oracle_.leaving_runner_received_work(engines_[engine].engine->name());
 }
 
-void World::perform(std::size_t index, OpenStream& effect) {
+void SimulatedCluster::execute_effect(std::size_t index, OpenStream& effect) {
   auto& node = nodes_[index];
   std::size_t engine = 0;
   while (engine < engines_.size() && engines_[engine].engine->name() != effect.address) ++engine;
@@ -386,17 +389,17 @@
   node.streams[effect.stream] = std::move(open);
   const std::uint64_t start = node.start;
   const StreamId stream = effect.stream;
-  const auto at_once = engines_[engine].engine->open(
-      last_stream_, work, [this, index, start, stream](const std::string& bytes, bool over) {
-        on_node(index, start, [=, this] { deliver(index, stream, bytes, over); });
+  const auto immediate_outcome = engines_[engine].engine->open(
+      last_stream_, work, [this, index, start, stream](const std::string& bytes, bool ended) {
+        on_node(index, start, [=, this] { deliver(index, stream, bytes, ended); });
       });
-  const bool ran = !at_once;
+  const bool ran = !immediate_outcome;
   if (ran && session) {
     oracle_.engine_started_online(session->call, session->work);
     check_leaving(index, engine);
   }
-  if (at_once) {
-    events_.after(Duration{1000}, [this, index, start, stream, outcome = *at_once] {
+  if (immediate_outcome) {
+    events_.after(Duration{1000}, [this, index, start, stream, outcome = *immediate_outcome] {
       on_node(index, start, [=, this] { end_stream(index, stream, outcome); });
     });
     return;
@@ -404,10 +407,10 @@
   watch_stream(index, start, stream, 0, effect.first_token_timeout);
 }
 
-/// Ends a stream that made no progress for `patience`.
-void World::watch_stream(std::size_t index, std::uint64_t start, StreamId stream,
-                         std::uint64_t progress, Duration patience) {
-  events_.after(patience, [this, index, start, stream, progress] {
+/// Ends a stream that made no progress for `timeout`.
+void SimulatedCluster::watch_stream(std::size_t index, std::uint64_t start, StreamId stream,
+                                    std::uint64_t progress, Duration timeout) {
+  events_.after(timeout, [this, index, start, stream, progress] {
     on_node(index, start, [=, this] {
       auto& streams = nodes_[index].streams;
       const auto found = streams.find(stream);
@@ -421,7 +424,8 @@
   });
 }
 
-void World::deliver(std::size_t index, StreamId stream, const std::string& bytes, bool over) {
+void SimulatedCluster::deliver(std::size_t index, StreamId stream, const std::string& bytes,
+                               bool ended) {
   auto& node = nodes_[index];
   const auto found = node.streams.find(stream);
   if (found == node.streams.end()) return;
@@ -445,12 +449,12 @@
   }
   if (open.splitter->finished()) {
     end_stream(index, stream, StreamOutcome::kCompleted);
-  } else if (over) {
+  } else if (ended) {
     end_stream(index, stream, StreamOutcome::kBroken);
   }
 }
 
-void World::end_stream(std::size_t index, StreamId stream, StreamOutcome outcome) {
+void SimulatedCluster::end_stream(std::size_t index, StreamId stream, StreamOutcome outcome) {
   auto& node = nodes_[index];
   StreamEnd end;
   end.stream = stream;
@@ -462,10 +466,10 @@
   }
   Effects effects;
   node.core->on_stream_ended(end, events_.now(), effects);
-  carry_out(index, std::move(effects));
+  execute_effects(index, std::move(effects));
 }
 
-void World::perform(std::size_t index, CancelStream& effect) {
+void SimulatedCluster::execute_effect(std::size_t index, CancelStream& effect) {
   const std::uint64_t start = nodes_[index].start;
   events_.after(Duration{500}, [this, index, start, stream = effect.stream] {
     on_node(index, start, [=, this] {
@@ -476,39 +480,42 @@
   });
 }
 
-void World::perform(std::size_t index, FinishRequest& effect) {
+void SimulatedCluster::execute_effect(std::size_t index, FinishRequest& effect) {
   auto node = nodes_[index].sessions.extract(effect.request);
   if (node.empty()) return;
   const auto& session = node.mapped();
-  Seen seen = Seen::kOk;
+  CallOutcome outcome = CallOutcome::kOk;
   if (!effect.succeeded) {
-    seen = effect.error.execution == Execution::kNotRun ? Seen::kNotRun : Seen::kUnknown;
+    outcome =
+        effect.error.execution == Execution::kNotRun ? CallOutcome::kNotRun : CallOutcome::kUnknown;
   }
-  oracle_.online_ended(session.call, seen, session.received,
-                       simulated_answer(session.fingerprint, session.tokens));
+  oracle_.online_ended(session.call, outcome, session.received,
+                       simulated_response(session.fingerprint, session.tokens));
 }
 
-void World::perform(std::size_t index, AnswerCall& effect) {
+void SimulatedCluster::execute_effect(std::size_t index, AnswerCall& effect) {
   auto node = nodes_[index].job_calls.extract(effect.call);
   if (node.empty()) return;
   const JobCall call = node.mapped();
   const auto* failure = std::get_if<CallFailure>(&effect.answer);
   const bool not_run =
       failure != nullptr && failure->execution == static_cast<std::uint8_t>(Execution::kNotRun);
-  const Seen seen = failure == nullptr ? Seen::kOk : (not_run ? Seen::kNotRun : Seen::kUnknown);
+  const CallOutcome outcome = failure == nullptr
+                                  ? CallOutcome::kOk
+                                  : (not_run ? CallOutcome::kNotRun : CallOutcome::kUnknown);
   const auto* status = std::get_if<JobStatus>(&effect.answer);
   const bool missing =
       failure != nullptr && failure->code == static_cast<int>(ErrorCode::kNotFound);
   auto& final_read = final_reads_[call.key];
   switch (call.kind) {
     case JobCall::Kind::kSubmit:
-      oracle_.submit_ended(call.key, seen, status != nullptr ? value_of(status->job) : 0);
+      oracle_.submit_ended(call.key, outcome, status != nullptr ? value_of(status->job) : 0);
       break;
     case JobCall::Kind::kCancel:
-      oracle_.cancel_ended(call.key, seen, status != nullptr ? status->completed_count : 0);
+      oracle_.cancel_ended(call.key, outcome, status != nullptr ? status->completed_count : 0);
       break;
     case JobCall::Kind::kStatus:
-      if (finishing_ && (status != nullptr || missing)) {
+      if (running_final_checks_ && (status != nullptr || missing)) {
         final_read.answered = true;
         final_read.found = status != nullptr;
         if (status != nullptr) final_read.status = *status;
@@ -521,7 +528,7 @@
     case JobCall::Kind::kResults:
       if (const auto* page = std::get_if<JobResults>(&effect.answer)) {
         for (const auto& result : page->results) {
-          if (finishing_) {
+          if (running_final_checks_) {
             final_read.results[result.index] = result.text;
           } else {
             oracle_.result_read(call.key, result.index, result.text);
@@ -534,21 +541,21 @@
   }
 }
 
-void World::perform(std::size_t index, AnswerChange& effect) {
+void SimulatedCluster::execute_effect(std::size_t index, AnswerChange& effect) {
   auto node = nodes_[index].change_calls.extract(effect.call);
   if (node.empty()) return;
   const auto& change = node.mapped();
   const bool conflict = effect.error.code == make_error_code(ErrorCode::kConflict);
-  const Seen seen = effect.accepted ? Seen::kOk : Seen::kUnknown;
-  oracle_.change_ended(change.resource, change.expected, seen, conflict, value_of(effect.version),
-                       change.body);
+  const CallOutcome outcome = effect.accepted ? CallOutcome::kOk : CallOutcome::kUnknown;
+  oracle_.change_ended(change.resource, change.expected, outcome, conflict,
+                       value_of(effect.version), change.body);
 }
 
-// ---- callers and operators ---------------------------------------------------------------------
+// ---- client and operator calls -----------------------------------------------------------------
 
-void World::admit(std::size_t node, CallerSession session, OnlineRequest request) {
+void SimulatedCluster::admit(std::size_t node, CallerSession session, OnlineRequest request) {
   const std::size_t index = node % nodes_.size();
-  if (!serves(index)) return;
+  if (!is_serving(index)) return;
   session.call = ++last_call_;
   oracle_.online_started(session.call, session.work == 0 ? session.call : session.work,
                          session.unsafe);
@@ -560,10 +567,10 @@
   nodes_[index].sessions[request.id] = session;
   Effects effects;
   nodes_[index].core->admit(request, events_.now(), effects);
-  carry_out(index, std::move(effects));
+  execute_effects(index, std::move(effects));
 }
 
-void World::online(std::size_t node, std::uint32_t tokens, Duration deadline) {
+void SimulatedCluster::online(std::size_t node, std::uint32_t tokens, Duration deadline) {
   CallerSession session;
   session.fingerprint = random_.next();
   session.tokens = tokens;
@@ -572,7 +579,7 @@
   admit(node, session, request);
 }
 
-void World::unsafe_online(std::size_t node, std::uint64_t key) {
+void SimulatedCluster::unsafe_online(std::size_t node, std::uint64_t key) {
   CallerSession session;
   session.unsafe = true;
   session.work = (1ULL << 40U) + key;
@@ -585,7 +592,7 @@
   admit(node, session, request);
 }
 
-void World::unsafe_online_unkeyed(std::size_t node) {
+void SimulatedCluster::unsafe_online_unkeyed(std::size_t node) {
   CallerSession session;
   session.unsafe = true;
   session.fingerprint = random_.next();
@@ -595,18 +602,18 @@
   admit(node, session, request);
 }
 
-void World::start_job_call(std::size_t index, std::uint64_t key, JobCall::Kind kind,
-                           ShardRequest request) {
+void SimulatedCluster::start_job_call(std::size_t index, std::uint64_t key, JobCall::Kind kind,
+                                      ShardRequest request) {
   Effects effects;
   const auto call =
       nodes_[index].core->call_job(job_id(key), std::move(request), events_.now(), effects);
   nodes_[index].job_calls[call] = {key, kind, oracle_.read_started(key)};
-  carry_out(index, std::move(effects));
+  execute_effects(index, std::move(effects));
 }
 
-void World::submit(std::size_t node, std::uint64_t key, std::uint32_t items) {
+void SimulatedCluster::submit(std::size_t node, std::uint64_t key, std::uint32_t items) {
   const std::size_t index = node % nodes_.size();
-  if (!serves(index) || !nodes_[index].core->readiness().ready) return;
+  if (!is_serving(index) || !nodes_[index].core->readiness().ready) return;
   oracle_.submit_started(key, items);
   SubmitJobCall call;
   call.job = job_id(key);
@@ -618,55 +625,55 @@
   start_job_call(index, key, JobCall::Kind::kSubmit, std::move(call));
 }
 
-void World::cancel(std::size_t node, std::uint64_t key) {
+void SimulatedCluster::cancel(std::size_t node, std::uint64_t key) {
   const std::size_t index = node % nodes_.size();
   const auto keys = oracle_.job_keys();
-  if (!serves(index) || std::find(keys.begin(), keys.end(), key) == keys.end()) return;
+  if (!is_serving(index) || std::find(keys.begin(), keys.end(), key) == keys.end()) return;
   oracle_.cancel_started(key);
   start_job_call(index, key, JobCall::Kind::kCancel, CancelJobCall{job_id(key)});
 }
 
-void World::read_status(std::size_t node, std::uint64_t key) {
+void SimulatedCluster::read_status(std::size_t node, std::uint64_t key) {
   const std::size_t index = node % nodes_.size();
   const auto keys = oracle_.job_keys();
-  if (!serves(index) || std::find(keys.begin(), keys.end(), key) == keys.end()) return;
+  if (!is_serving(index) || std::find(keys.begin(), keys.end(), key) == keys.end()) return;
   for (const auto& [call, job] : nodes_[index].job_calls) {
     if (job.key == key && job.kind == JobCall::Kind::kStatus) return;
   }
   start_job_call(index, key, JobCall::Kind::kStatus, JobStatusCall{job_id(key)});
 }
 
-void World::read_results(std::size_t node, std::uint64_t key) {
+void SimulatedCluster::read_results(std::size_t node, std::uint64_t key) {
   const std::size_t index = node % nodes_.size();
   const auto keys = oracle_.job_keys();
-  if (!serves(index) || std::find(keys.begin(), keys.end(), key) == keys.end()) return;
-  const std::uint32_t first = finishing_ ? final_reads_[key].next_index : 0;
+  if (!is_serving(index) || std::find(keys.begin(), keys.end(), key) == keys.end()) return;
+  const std::uint32_t first = running_final_checks_ ? final_reads_[key].next_index : 0;
   start_job_call(index, key, JobCall::Kind::kResults, JobResultsCall{job_id(key), first, 100});
 }
 
-void World::change(std::size_t node, std::uint64_t resource, std::optional<std::uint64_t> version,
-                   std::uint32_t slots) {
+void SimulatedCluster::change(std::size_t node, std::uint64_t resource,
+                              std::optional<std::uint64_t> version, std::uint32_t slots) {
   const std::size_t index = node % nodes_.size();
-  if (!serves(index)) return;
+  if (!is_serving(index)) return;
   auto& target = nodes_[index];
   ResourceChange change;
   change.kind = std::string(kServiceKind);
   change.name = resource == 0 ? kService : "other-" + std::to_string(resource);
   change.body = service_body(slots);
-  const auto present = target.core->configuration().find(change.kind, change.name);
-  const std::uint64_t seen = present ? value_of(present->version) : 0;
-  change.expected_version = Offset{version.value_or(seen)};
+  const auto current = target.core->configuration().find(change.kind, change.name);
+  const std::uint64_t current_version = current ? value_of(current->version) : 0;
+  change.expected_version = Offset{version.value_or(current_version)};
   const ChangeCall call{change.kind + "/" + change.name, value_of(change.expected_version),
                         change.body};
   Effects effects;
   const auto id = target.core->change_resource(std::move(change), events_.now(), effects);
   target.change_calls[id] = call;
-  carry_out(index, std::move(effects));
+  execute_effects(index, std::move(effects));
 }
 
-// ---- the end -----------------------------------------------------------------------------------
+// ---- final checks ------------------------------------------------------------------------------
 
-bool World::quiet() const {
+bool SimulatedCluster::is_idle() const {
   for (const auto& node : nodes_) {
     if (!node.core) continue;
     if (!node.sessions.empty() || !node.job_calls.empty() || !node.change_calls.empty()) {
@@ -677,29 +684,29 @@
   return true;
 }
 
-void World::finish() {
+void SimulatedCluster::finish() {
   log_.faults() = {};
   heal_links();
   set_reorder(false);
   for (std::size_t i = 0; i < engines_.size(); ++i) {
     engines_[i].engine->faults() = {};
     engines_[i].leaving_since.reset();
-    engines_[i].engine->faults_changed();
+    engines_[i].engine->apply_faults();
   }
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    wake(i);
+    unfreeze(i);
     restart(i);
   }
   run_for(std::chrono::seconds(12));
-  for (int step = 0; step < kQuiescenceSteps && !quiet(); ++step) run_for(kQuiescenceStep);
+  for (int step = 0; step < kQuiescenceSteps && !is_idle(); ++step) run_for(kQuiescenceStep);
   for (std::size_t i = 0; i < nodes_.size(); ++i) restart(i);
   run_for(std::chrono::seconds(8));
   check_jobs_at_end();
   check_configuration_at_end();
 }
 
-void World::check_jobs_at_end() {
-  finishing_ = true;
+void SimulatedCluster::check_jobs_at_end() {
+  running_final_checks_ = true;
   final_reads_.clear();
   const auto keys = oracle_.job_keys();
   constexpr int kAttempts = 40;
@@ -713,17 +720,17 @@
       read_results(random_.next(), key);
       run_for(std::chrono::milliseconds(300));
     }
-    oracle_.job_at_end(key, read.found, read.status.cancelled, read.status.completed_count,
-                       read.results);
+    oracle_.check_job_at_end(key, read.found, read.status.cancelled, read.status.completed_count,
+                             read.results);
   }
 }
 
-void World::check_configuration_at_end() {
+void SimulatedCluster::check_configuration_at_end() {
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     if (!nodes_[i].core) continue;
     for (const auto& resource : nodes_[i].core->configuration().list("")) {
-      oracle_.resource_at_end(node_name(i), resource.kind + "/" + resource.name,
-                              value_of(resource.version), resource.body);
+      oracle_.check_resource_at_end(node_name(i), resource.kind + "/" + resource.name,
+                                    value_of(resource.version), resource.body);
     }
   }
 }
--- a/tests/fuzz/world.h
+++ b/tests/fuzz/world.h
@@ -1,5 +1,6 @@
 /// @file
-/// The simulated fleet: nodes with the real core, a log, engines, links, callers and operators.
+/// Simulated cluster: nodes that run the production core, a log, engines, links, callers and
+/// operators.
 #pragma once
 
 #include <cstdint>
@@ -20,26 +21,26 @@
 
 namespace stoathold::fuzz {
 
-/// Size of a simulated fleet.
-struct WorldSize {
+struct ClusterSize {
   std::size_t nodes = 5;
   std::size_t zones = 3;
   std::size_t engines = 4;
   std::uint32_t slots = 4;
 };
 
-/// A fleet under simulation. Deterministic for one seed and one sequence of calls. One thread.
-class World {
+/// Discrete-event simulation of a cluster. Deterministic for a seed and a sequence of calls. Not
+/// thread safe.
+class SimulatedCluster {
  public:
-  explicit World(std::uint64_t seed, WorldSize size = {});
-  ~World();
+  explicit SimulatedCluster(std::uint64_t seed, ClusterSize size = {});
+  ~SimulatedCluster();
 
   // Time.
   void run_for(Duration duration);
-  /// Heals every fault, waits until nothing is in progress, and asserts what must hold at the end.
+  /// Heals every fault, waits until no work is in progress and checks the final state.
   void finish();
 
-  // Callers. Nodes, engines and keys are taken modulo what there is.
+  // Client calls. Node and engine indexes wrap around.
   void online(std::size_t node, std::uint32_t tokens, Duration deadline);
   void unsafe_online(std::size_t node, std::uint64_t key);
   void unsafe_online_unkeyed(std::size_t node);
@@ -48,15 +49,15 @@
   void read_status(std::size_t node, std::uint64_t key);
   void read_results(std::size_t node, std::uint64_t key);
 
-  // Operators.
+  // Operator calls.
   void change(std::size_t node, std::uint64_t resource, std::optional<std::uint64_t> version,
               std::uint32_t slots);
 
-  // Faults of nodes and links.
+  // Node and link faults.
   void crash(std::size_t node);
   void restart(std::size_t node);
   void freeze(std::size_t node);
-  void wake(std::size_t node);
+  void unfreeze(std::size_t node);
   void drain(std::size_t node);
   void cut(std::size_t from, std::size_t to, bool both_ways);
   void heal_links();
@@ -82,13 +83,13 @@
   };
   struct OpenNodeStream {
     std::size_t engine = 0;
-    std::uint64_t global = 0;
+    std::uint64_t global = 0;  ///< Id of the stream at its engine.
     std::unique_ptr<EventSplitter> splitter;
     RequestId request{};
     bool online = true;
     std::string text;
     std::string marker;
-    std::uint64_t progress = 0;  ///< Counts deliveries, for time-outs.
+    std::uint64_t progress = 0;  ///< Number of deliveries; detects stalled streams.
     Duration token_timeout{0};
   };
   struct JobCall {
@@ -104,10 +105,10 @@
   struct Node {
     std::unique_ptr<NodeCore> core;
     std::string zone;
-    std::uint64_t start = 0;  ///< Unique over all starts of all nodes.
+    std::uint64_t start = 0;  ///< Unique among all starts of all nodes.
     bool frozen = false;
     bool draining = false;
-    TimePoint disturbed;  ///< When it last started or woke.
+    TimePoint disrupted_at;  ///< Time of the last start or unfreeze.
     std::deque<std::function<void()>> deferred;
     std::map<RequestId, CallerSession> sessions;
     std::map<StreamId, OpenNodeStream> streams;
@@ -122,36 +123,36 @@
 
   void start_node(std::size_t index);
   void schedule_tick(std::size_t index, std::uint64_t start);
-  void schedule_platform(std::size_t index, std::uint64_t start);
+  void schedule_platform_poll(std::size_t index, std::uint64_t start);
   void on_node(std::size_t index, std::uint64_t start, std::function<void()> action);
-  void carry_out(std::size_t index, Effects effects);
-  void perform(std::size_t index, SendToPeer& effect);
-  void perform(std::size_t index, AppendToLog& effect);
-  void perform(std::size_t index, ReadFromLog& effect);
-  void perform(std::size_t index, ReadLogHead& effect);
-  void perform(std::size_t index, OpenStream& effect);
-  void perform(std::size_t index, CancelStream& effect);
-  void perform(std::size_t index, FinishRequest& effect);
-  void perform(std::size_t index, AnswerCall& effect);
-  void perform(std::size_t index, AnswerChange& effect);
-  void deliver(std::size_t index, StreamId stream, const std::string& bytes, bool over);
+  void execute_effects(std::size_t index, Effects effects);
+  void execute_effect(std::size_t index, SendToPeer& effect);
+  void execute_effect(std::size_t index, AppendToLog& effect);
+  void execute_effect(std::size_t index, ReadFromLog& effect);
+  void execute_effect(std::size_t index, ReadLogHead& effect);
+  void execute_effect(std::size_t index, OpenStream& effect);
+  void execute_effect(std::size_t index, CancelStream& effect);
+  void execute_effect(std::size_t index, FinishRequest& effect);
+  void execute_effect(std::size_t index, AnswerCall& effect);
+  void execute_effect(std::size_t index, AnswerChange& effect);
+  void deliver(std::size_t index, StreamId stream, const std::string& bytes, bool ended);
   void end_stream(std::size_t index, StreamId stream, StreamOutcome outcome);
   void watch_stream(std::size_t index, std::uint64_t start, StreamId stream, std::uint64_t progress,
-                    Duration patience);
+                    Duration timeout);
   void admit(std::size_t node, CallerSession session, OnlineRequest request);
   void break_connections(std::size_t index);
   void close_streams(std::size_t index);
-  void publish_machines(std::size_t index);
+  void deliver_machine_list(std::size_t index);
   void check_drained(std::size_t index, std::uint64_t start);
   void check_leaving(std::size_t index, std::size_t engine);
   void start_job_call(std::size_t index, std::uint64_t key, JobCall::Kind kind,
                       ShardRequest request);
   void read_configuration(std::size_t index);
-  [[nodiscard]] bool quiet() const;
+  [[nodiscard]] bool is_idle() const;
   void check_jobs_at_end();
   void check_configuration_at_end();
   [[nodiscard]] std::optional<std::size_t> index_of(const std::string& address) const;
-  [[nodiscard]] bool serves(std::size_t index) const {
+  [[nodiscard]] bool is_serving(std::size_t index) const {
     return nodes_[index].core != nullptr && !nodes_[index].frozen;
   }
   [[nodiscard]] static JobId job_id(std::uint64_t key);
@@ -171,7 +172,7 @@
   std::uint64_t last_execution_ = 0;
   std::map<std::pair<std::size_t, std::size_t>, TimePoint> link_busy_until_;
 
-  /// Answers collected while the final checks run.
+  /// Responses collected during the final checks.
   struct FinalRead {
     bool answered = false;
     bool found = false;
@@ -181,7 +182,7 @@
     bool complete = false;
   };
   std::map<std::uint64_t, FinalRead> final_reads_;
-  bool finishing_ = false;
+  bool running_final_checks_ = false;
 };
 
 }  // namespace stoathold::fuzz
