--- a/src/core/runner_table.cc
+++ b/src/core/runner_table.cc
@@ -164,14 +164,14 @@
   ++rows_[found->second].streams_since_report;
 }
 
-void RunnerTable::on_stream_ended(RunnerId runner, StreamVerdict verdict, TimePoint now) {
+void RunnerTable::on_stream_ended(RunnerId runner, StreamVerdict result, TimePoint now) {
   const std::scoped_lock lock(mutex_);
   const auto found = index_.find(runner);
   if (found == index_.end()) return;
   auto& row = rows_[found->second];
   if (row.own_streams > 0) --row.own_streams;
-  if (verdict == StreamVerdict::kNeutral) return;
-  if (verdict == StreamVerdict::kSucceeded) {
+  if (result == StreamVerdict::kNeutral) return;
+  if (result == StreamVerdict::kSucceeded) {
     if (row.health != RunnerHealth::kHealthy) ++version_;
     row.failures = 0;
     row.eject_time = Duration{0};
--- a/src/core/runner_table.h
+++ b/src/core/runner_table.h
@@ -98,7 +98,7 @@
   /// Uncounts a stream and updates the runner's health. A runner is ejected after
   /// `Knobs::eject_after_failures` consecutive failures, or a single one on probation; each
   /// ejection doubles its duration up to a limit.
-  void on_stream_ended(RunnerId runner, StreamVerdict verdict, TimePoint now);
+  void on_stream_ended(RunnerId runner, StreamVerdict result, TimePoint now);
 
   [[nodiscard]] std::optional<RunnerView> find(RunnerId runner) const;
   [[nodiscard]] std::vector<RunnerView> list() const;
--- a/src/core/shard_system.cc
+++ b/src/core/shard_system.cc
@@ -331,16 +331,16 @@
 
 std::vector<ShardStatistics> ShardSystem::figures() const {
   const std::scoped_lock lock(mutex_);
-  std::vector<ShardStatistics> figures;
+  std::vector<ShardStatistics> statistics;
   for (const auto& row : rows_) {
     const auto& replica = row->replica;
     if (!replica.following()) continue;
-    figures.push_back({replica.shard(), row->owned, replica.state().epoch(),
-                       replica.state().next_offset(), replica.state().jobs().size(),
-                       row->scheduler.assigned_count(), replica.replayed_entries(),
-                       replica.replayed_bytes()});
+    statistics.push_back({replica.shard(), row->owned, replica.state().epoch(),
+                          replica.state().next_offset(), replica.state().jobs().size(),
+                          row->scheduler.assigned_count(), replica.replayed_entries(),
+                          replica.replayed_bytes()});
   }
-  return figures;
+  return statistics;
 }
 
 }  // namespace stoathold
--- a/tests/fuzz/fuzz_main.cc
+++ b/tests/fuzz/fuzz_main.cc
@@ -90,7 +90,7 @@
   app.add_option("--seed", seed, "Seed of the command generator");
   app.add_option("--runs", runs, "Number of runs");
   app.add_option("--size", size, "Maximum number of commands in a run");
-  app.add_option("--without", without, "Mechanisms to disable");
+  app.add_option("--without", without, "Mechanisms to disable; a violation is then expected");
   app.add_flag("--expect-broken", expect_broken, "Exit with 0 only if a guarantee was violated");
   CLI11_PARSE(app, argc, argv);
   for (const auto& name : without) {
--- a/tests/fuzz/oracle.cc
+++ b/tests/fuzz/oracle.cc
@@ -96,7 +96,7 @@
   const auto [position, inserted] = job.results.try_emplace(index, text);
   if (!inserted && position->second != text) {
     add_violation("item " + std::to_string(index) + " of job " + std::to_string(key) +
-                  " has two different results");
+                  " has two different results: it completed twice");
   }
 }
 
--- a/tests/fuzz/recovery_test.cc
+++ b/tests/fuzz/recovery_test.cc
@@ -48,8 +48,8 @@
   cluster.run_for(seconds(8));
   const auto interval = cluster.core(2)->knobs().snapshot_interval;
   for (std::size_t i = 2; i < cluster.node_count(); ++i) {
-    for (const auto& figures : cluster.core(i)->shards().figures()) {
-      EXPECT_LE(figures.replayed_entries, 2 * interval);
+    for (const auto& statistics : cluster.core(i)->shards().figures()) {
+      EXPECT_LE(statistics.replayed_entries, 2 * interval);
     }
   }
   cluster.finish();
