--- a/apps/node_main.cc
+++ b/apps/node_main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// `stoathold-node`: settings from a file with flags over it, then the node.
+/// `stoathold-node`: reads the settings from a file and from flags, then runs the node.
 #include <CLI/CLI.hpp>
 #include <iostream>
 #include <map>
@@ -12,8 +12,8 @@
 
 constexpr int kExitSettings = 2;
 
-int print_faults(const std::vector<stoathold::SettingsFault>& faults) {
-  for (const auto& fault : faults) std::cerr << stoathold::to_string(fault) << "\n";
+int print_errors(const std::vector<stoathold::SettingsError>& errors) {
+  for (const auto& error : errors) std::cerr << stoathold::to_string(error) << "\n";
   return kExitSettings;
 }
 
@@ -21,7 +21,7 @@
 
 int main(int argc, char** argv) {
   stoathold::hold_signals();
-  CLI::App app{"A stoathold node: serves callers and operators, and takes its share of the fleet."};
+  CLI::App app{"A stoathold node: serves callers and operators as a member of a cluster."};
   std::string file;
   bool check_only = false;
   std::map<std::string, std::string> flags;
@@ -37,16 +37,16 @@
 
   stoathold::NodeSettings settings;
   if (!file.empty()) {
-    const auto faults = stoathold::read_settings_file(file, settings);
-    if (!faults.empty()) return print_faults(faults);
+    const auto errors = stoathold::read_settings_file(file, settings);
+    if (!errors.empty()) return print_errors(errors);
   }
   for (const auto& [name, value] : flags) {
     if (value.empty()) continue;
     const std::string message = stoathold::set_setting(settings, name, value);
-    if (!message.empty()) return print_faults({{"", 0, name, message}});
+    if (!message.empty()) return print_errors({{"", 0, name, message}});
   }
-  const auto faults = stoathold::check_settings(settings);
-  if (!faults.empty()) return print_faults(faults);
+  const auto errors = stoathold::check_settings(settings);
+  if (!errors.empty()) return print_errors(errors);
   if (check_only) {
     std::cout << "settings are correct\n";
     return 0;
--- a/src/server/chat_request.cc
+++ b/src/server/chat_request.cc
@@ -13,29 +13,32 @@
 constexpr std::size_t kPrefixBytes = 512;
 
 bool fail(Error& error, std::string message) {
-  error = not_run(ErrorCode::kBadRequest, Step::kParse, std::move(message));
+  error = not_run_error(ErrorCode::kBadRequest, Step::kParse, std::move(message));
   return false;
 }
 
-/// Length of the well-formed sequence at the front of `bytes`; 0 if there is none.
+/// Returns the length of the well-formed UTF-8 sequence that `bytes` start with; 0 if they start
+/// with none. `bytes` must not be empty.
 std::size_t sequence_length(std::string_view bytes) {
-  const auto at = [bytes](std::size_t index) { return static_cast<unsigned char>(bytes[index]); };
-  const unsigned lead = at(0);
-  if (lead < 0x80) return 1;
+  const auto byte_at = [bytes](std::size_t index) {
+    return static_cast<unsigned char>(bytes[index]);
+  };
+  const unsigned first_byte = byte_at(0);
+  if (first_byte < 0x80) return 1;
   std::size_t length = 0;
-  unsigned low = 0x80;
-  unsigned high = 0xbf;
-  if (lead >= 0xc2 && lead <= 0xdf) length = 2;
-  if (lead >= 0xe0 && lead <= 0xef) length = 3;
-  if (lead >= 0xf0 && lead <= 0xf4) length = 4;
-  if (lead == 0xe0) low = 0xa0;
-  if (lead == 0xed) high = 0x9f;
-  if (lead == 0xf0) low = 0x90;
-  if (lead == 0xf4) high = 0x8f;
+  unsigned min_second_byte = 0x80;
+  unsigned max_second_byte = 0xbf;
+  if (first_byte >= 0xc2 && first_byte <= 0xdf) length = 2;
+  if (first_byte >= 0xe0 && first_byte <= 0xef) length = 3;
+  if (first_byte >= 0xf0 && first_byte <= 0xf4) length = 4;
+  if (first_byte == 0xe0) min_second_byte = 0xa0;
+  if (first_byte == 0xed) max_second_byte = 0x9f;
+  if (first_byte == 0xf0) min_second_byte = 0x90;
+  if (first_byte == 0xf4) max_second_byte = 0x8f;
   if (length == 0 || bytes.size() < length) return 0;
-  if (at(1) < low || at(1) > high) return 0;
+  if (byte_at(1) < min_second_byte || byte_at(1) > max_second_byte) return 0;
   for (std::size_t i = 2; i < length; ++i) {
-    if (at(i) < 0x80 || at(i) > 0xbf) return 0;
+    if (byte_at(i) < 0x80 || byte_at(i) > 0xbf) return 0;
   }
   return length;
 }
--- a/src/server/metrics.cc
+++ b/src/server/metrics.cc
@@ -25,7 +25,7 @@
   family.Add(labels).Increment(static_cast<double>(value));
 }
 
-double processor_seconds() {
+double cpu_seconds() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   const auto seconds = [](const timeval& time) {
@@ -63,17 +63,17 @@
               counters.finished);
   set_counter(registry, "stoathold_batch_yielded_total", "Batch streams paused for online work.",
               counters.yielded);
-  for (const auto& figures : core.batch().figures()) {
-    const auto view = core.runners().find(figures.runner);
+  for (const auto& statistics : core.batch().figures()) {
+    const auto view = core.runners().find(statistics.runner);
     const prometheus::Labels labels{{"runner", view ? view->listed.name : "unknown"}};
     set_gauge(registry, "stoathold_runner_online_streams", "Online streams at an owned runner.",
-              figures.online, labels);
+              statistics.online, labels);
     set_gauge(registry, "stoathold_runner_batch_streams", "Batch streams at an owned runner.",
-              figures.batch, labels);
+              statistics.batch, labels);
     set_gauge(registry, "stoathold_runner_batch_limit", "Batch limit of an owned runner.",
-              figures.limit, labels);
+              statistics.limit, labels);
     set_gauge(registry, "stoathold_runner_reserve", "Places kept free for online bursts.",
-              figures.reserve, labels);
+              statistics.reserve, labels);
   }
 }
 
@@ -102,7 +102,7 @@
             static_cast<double>(core.membership().list().size()));
   set_gauge(registry, "stoathold_configuration_next_offset", "Next configuration offset.",
             static_cast<double>(value_of(core.configuration().next_offset())));
-  set_gauge(registry, "process_cpu_seconds", "Processor time used.", processor_seconds());
+  set_gauge(registry, "process_cpu_seconds", "Processor time used.", cpu_seconds());
   set_gauge(registry, "process_resident_memory_bytes", "Resident memory.", resident_bytes());
   add_peer_traffic(registry, runtime.traffic());
   add_batch(registry, core);
--- a/src/server/metrics.h
+++ b/src/server/metrics.h
@@ -1,5 +1,5 @@
 /// @file
-/// The node's metrics in Prometheus text form.
+/// Export of the node's metrics in the Prometheus text format.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 class NodeRuntime;
 
-/// Collects the node's counters and gauges (prometheus-cpp) and serialises them.
+/// Returns the current counters and gauges of the node, serialised by prometheus-cpp.
 std::string render_metrics(NodeRuntime& runtime);
 
 }  // namespace stoathold
--- a/src/server/node_change_log.cc
+++ b/src/server/node_change_log.cc
@@ -4,26 +4,26 @@
 
 namespace stoathold {
 
-void NodeChangeLog::log_changes(NodeCore& core) {
+void NodeStateLogger::log_changes(NodeCore& core) {
   const auto readiness = core.readiness();
-  if (readiness.ready && !known_ready_) log_event(Event::kNodeReady, {{"node", node_name_}});
-  known_ready_ = readiness.ready;
+  if (readiness.ready && !logged_ready_) log_event(Event::kNodeReady, {{"node", node_name_}});
+  logged_ready_ = readiness.ready;
   log_member_changes(core);
   log_lease_changes(core);
   log_runner_changes(core);
   const Offset offset = core.configuration().next_offset();
-  if (offset != known_configuration_) {
-    known_configuration_ = offset;
+  if (offset != logged_configuration_) {
+    logged_configuration_ = offset;
     log_event(Event::kConfigurationApplied, {{"next_offset", std::to_string(value_of(offset))}});
   }
 }
 
-void NodeChangeLog::log_member_changes(NodeCore& core) {
+void NodeStateLogger::log_member_changes(NodeCore& core) {
   const std::uint64_t version = core.membership().version();
-  if (version == known_membership_version_) return;
-  known_membership_version_ = version;
+  if (version == logged_membership_version_) return;
+  logged_membership_version_ = version;
   for (const auto& [member, liveness] : core.membership().list()) {
-    const auto [position, inserted] = known_liveness_.try_emplace(member.id, liveness);
+    const auto [position, inserted] = logged_liveness_.try_emplace(member.id, liveness);
     if (!inserted && position->second == liveness) continue;
     position->second = liveness;
     Event event = Event::kMemberAlive;
@@ -34,24 +34,24 @@
   }
 }
 
-void NodeChangeLog::log_lease_changes(NodeCore& core) {
-  for (const auto& figures : core.shards().figures()) {
-    auto& owned = known_owned_[figures.shard];
-    if (owned == figures.owned) continue;
-    owned = figures.owned;
+void NodeStateLogger::log_lease_changes(NodeCore& core) {
+  for (const auto& statistics : core.shards().figures()) {
+    auto& owned = logged_ownership_[statistics.shard];
+    if (owned == statistics.owned) continue;
+    owned = statistics.owned;
     log_event(owned ? Event::kLeaseGained : Event::kLeaseLost,
-              {{"shard", std::to_string(value_of(figures.shard))},
-               {"epoch", std::to_string(value_of(figures.epoch))},
-               {"replayed_entries", std::to_string(figures.replayed_entries)}});
+              {{"shard", std::to_string(value_of(statistics.shard))},
+               {"epoch", std::to_string(value_of(statistics.epoch))},
+               {"replayed_entries", std::to_string(statistics.replayed_entries)}});
   }
 }
 
-void NodeChangeLog::log_runner_changes(NodeCore& core) {
+void NodeStateLogger::log_runner_changes(NodeCore& core) {
   const std::uint64_t version = core.runners().version();
-  if (version == known_runner_version_) return;
-  known_runner_version_ = version;
+  if (version == logged_runner_version_) return;
+  logged_runner_version_ = version;
   for (const auto& runner : core.runners().list()) {
-    auto& health = known_health_[runner.id];
+    auto& health = logged_health_[runner.id];
     if (health == runner.health) continue;
     if (runner.health == RunnerHealth::kEjected) {
       log_event(Event::kRunnerEjected, {{"runner", runner.listed.name}});
--- a/src/server/node_change_log.h
+++ b/src/server/node_change_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// Logs what a node newly believes: readiness, members, leases, runners, configuration.
+/// Logs changes of a node's state: readiness, members, leases, runners and configuration.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,14 @@
 
 namespace stoathold {
 
-/// Compares the core with what was logged last. Used on the tick's thread alone; the core has its
-/// own locks.
-class NodeChangeLog {
+/// Compares the state of a `NodeCore` with the state that was logged last and logs the differences.
+///
+/// Not thread safe: called only from the runtime's tick. The core does its own locking.
+class NodeStateLogger {
  public:
-  explicit NodeChangeLog(std::string node_name) : node_name_(std::move(node_name)) {}
+  explicit NodeStateLogger(std::string node_name) : node_name_(std::move(node_name)) {}
 
-  /// Writes one event for each change since the last call.
+  /// Logs one event for each change since the previous call.
   void log_changes(NodeCore& core);
 
  private:
@@ -25,13 +26,13 @@
   void log_runner_changes(NodeCore& core);
 
   std::string node_name_;
-  std::map<NodeId, Liveness> known_liveness_;
-  std::map<ShardId, bool> known_owned_;
-  std::map<RunnerId, RunnerHealth> known_health_;
-  std::uint64_t known_membership_version_ = 0;
-  std::uint64_t known_runner_version_ = 0;
-  Offset known_configuration_{};
-  bool known_ready_ = false;
+  std::map<NodeId, Liveness> logged_liveness_;
+  std::map<ShardId, bool> logged_ownership_;
+  std::map<RunnerId, RunnerHealth> logged_health_;
+  std::uint64_t logged_membership_version_ = 0;
+  std::uint64_t logged_runner_version_ = 0;
+  Offset logged_configuration_{};
+  bool logged_ready_ = false;
 };
 
 }  // namespace stoathold
--- a/src/server/node_runtime.cc
+++ b/src/server/node_runtime.cc
@@ -47,7 +47,7 @@
   return json::serialize(body);
 }
 
-/// Collects a batch stream's text.
+/// Accumulates the text of a batch stream.
 class TextCollector final : public EngineEventSink {
  public:
   explicit TextCollector(std::string text) : text_(std::move(text)) {}
@@ -71,15 +71,16 @@
                    Effects effects;
                    core_.on_peer_message(envelope.sender, envelope.message, monotonic_now(),
                                          effects);
-                   carry_out(std::move(effects));
+                   execute_effects(std::move(effects));
                  }),
       log_(make_http_log_client(executor, settings.log_service, kPlatformTimeout)),
-      machines_(make_http_machine_list_client(executor, settings.machine_list, kPlatformTimeout)),
+      machine_list_(
+          make_http_machine_list_client(executor, settings.machine_list, kPlatformTimeout)),
       engines_(make_http_engine_client(executor)),
       core_(identity_of(settings, transport_.address()), knobs_of(settings),
             value_of(incarnation_now())),
       tick_timer_(asio::make_strand(executor)),
-      change_log_(settings.name) {}
+      state_logger_(settings.name) {}
 
 NodeRuntime::~NodeRuntime() = default;
 
@@ -101,7 +102,7 @@
   const TimePoint now = monotonic_now();
   Effects effects;
   core_.tick(now, effects);
-  carry_out(std::move(effects));
+  execute_effects(std::move(effects));
   if (now >= next_machine_read_) {
     next_machine_read_ = now + kMachineReadPeriod;
     read_machine_list();
@@ -110,15 +111,15 @@
     next_load_poll_ = now + kLoadPollPeriod;
     poll_loads();
   }
-  if (now >= next_check_) {
-    next_check_ = now + kStateCheckPeriod;
-    change_log_.log_changes(core_);
+  if (now >= next_state_check_) {
+    next_state_check_ = now + kStateCheckPeriod;
+    state_logger_.log_changes(core_);
     check_drained();
   }
 }
 
 void NodeRuntime::read_machine_list() {
-  machines_->read([this](MachineListStatus status, const MachineList& list) {
+  machine_list_->read([this](MachineListStatus status, const MachineList& list) {
     if (status == MachineListStatus::kChanged) {
       core_.on_machine_list(list.nodes, list.runners);
     } else if (status == MachineListStatus::kUnreadable) {
@@ -136,7 +137,7 @@
       read.load.runner = id;
       Effects effects;
       core_.on_load_report(read.load, monotonic_now(), effects);
-      carry_out(std::move(effects));
+      execute_effects(std::move(effects));
     });
   }
 }
@@ -149,7 +150,7 @@
     log_event(Event::kNodeDraining, {{"node", settings_.name}});
     Effects effects;
     core_.start_drain(monotonic_now(), effects);
-    carry_out(std::move(effects));
+    execute_effects(std::move(effects));
   });
 }
 
@@ -164,12 +165,12 @@
   if ((!core_.drained() || open > 0) && now < drain_deadline_) return;
   Effects effects;
   core_.leave(now, effects);
-  carry_out(std::move(effects));
+  execute_effects(std::move(effects));
   auto done = std::exchange(drained_, nullptr);
   done();
 }
 
-void NodeRuntime::carry_out(Effects effects) {
+void NodeRuntime::execute_effects(Effects effects) {
   for (auto& effect : effects) {
     std::visit([this](auto& typed) { perform(typed); }, effect);
   }
@@ -187,7 +188,7 @@
     }
     Effects effects;
     core_.on_log_appended(stream, token, status, offset, monotonic_now(), effects);
-    carry_out(std::move(effects));
+    execute_effects(std::move(effects));
   };
   log_->append(effect.stream, std::move(effect.bytes), done);
 }
@@ -197,7 +198,7 @@
                         LogStatus status, const std::vector<LogEntry>& entries, Offset head) {
     Effects effects;
     core_.on_log_read(stream, token, status, entries, head, monotonic_now(), effects);
-    carry_out(std::move(effects));
+    execute_effects(std::move(effects));
   };
   log_->read(effect.stream, effect.from, effect.limit, done);
 }
@@ -207,7 +208,7 @@
                                                                          Offset head) {
     Effects effects;
     core_.on_log_head(stream, token, status, head, monotonic_now(), effects);
-    carry_out(std::move(effects));
+    execute_effects(std::move(effects));
   };
   log_->head(effect.stream, done);
 }
@@ -223,7 +224,7 @@
 void NodeRuntime::end_stream(const StreamEnd& end) {
   Effects effects;
   core_.on_stream_ended(end, monotonic_now(), effects);
-  carry_out(std::move(effects));
+  execute_effects(std::move(effects));
 }
 
 void NodeRuntime::open_online(const OpenStream& effect) {
@@ -241,7 +242,7 @@
   call.stream = effect.stream;
   call.address = effect.address;
   call.body = session->body();
-  call.request_name = session->name();
+  call.request_name = session->request_name();
   call.resume_tokens = effect.resume_tokens;
   call.first_token_timeout = effect.first_token_timeout;
   call.token_timeout = kTokenTimeout;
@@ -289,7 +290,7 @@
   if (!effect.succeeded) {
     const bool ran = effect.error.execution != Execution::kNotRun;
     log_event(ran ? Event::kRequestFailed : Event::kRequestRefused,
-              {{"request", session->name()},
+              {{"request", session->request_name()},
                {"error", effect.error.code.message()},
                {"step", std::string(to_string(effect.error.step))},
                {"peer", effect.error.peer}});
@@ -320,7 +321,7 @@
   }
   Effects effects;
   core_.admit(request, monotonic_now(), effects);
-  carry_out(std::move(effects));
+  execute_effects(std::move(effects));
   co_await session->run(request.service);
   const std::scoped_lock lock(mutex_);
   sessions_.erase(request.id);
@@ -335,7 +336,7 @@
     const std::scoped_lock lock(mutex_);
     calls_.add(call, waiter);
   }
-  carry_out(std::move(effects));
+  execute_effects(std::move(effects));
   co_return co_await waiter->wait();
 }
 
@@ -348,7 +349,7 @@
     const std::scoped_lock lock(mutex_);
     changes_.add(call, waiter);
   }
-  carry_out(std::move(effects));
+  execute_effects(std::move(effects));
   co_return co_await waiter->wait();
 }
 
--- a/src/server/node_runtime.h
+++ b/src/server/node_runtime.h
@@ -1,5 +1,5 @@
 /// @file
-/// Drives one `NodeCore` with real time and sockets: carries out its effects, feeds it events.
+/// Connects one `NodeCore` to clocks and sockets: executes its effects and delivers events to it.
 #pragma once
 
 #include <atomic>
@@ -25,36 +25,43 @@
 
 namespace stoathold {
 
-/// Outcome of a resource change.
+/// Outcome of a resource change: the new version, or the error.
 struct ChangeOutcome {
   bool accepted = false;
   Offset version{};
   Error error;
 };
 
-/// One node: the core, its transport and its clients.
+/// Runtime of one node: the core, the peer transport, and the clients of the log, the machine list
+/// and the engines.
 ///
-/// Thread safe: any worker thread may run any of its callbacks. The core has its own locks; this
-/// class's lock (`LockRank::kTransport`) guards only the maps of waiting sessions and calls, and is
-/// never held while the core or a socket is used.
+/// Thread safe: any worker thread may run any callback. The core does its own locking; this class's
+/// mutex (`LockRank::kTransport`) guards only the tables of open sessions, calls and changes, and
+/// is never held while the core or a socket is used.
 class NodeRuntime {
  public:
-  /// Binds the peer address; throws `std::system_error` if that fails.
+  /// Binds the peer address.
+  /// @throws std::system_error if the address cannot be bound.
   NodeRuntime(const NodeSettings& settings, const boost::asio::any_io_executor& executor);
   ~NodeRuntime();
 
+  /// Starts the peer transport and the periodic tick.
   void start();
-  /// Begins a planned stop. `drained` is called once nothing is in progress, or at the bound.
+  /// Starts a graceful shutdown. Calls `drained` once no work is in progress, or when
+  /// `NodeSettings::drain_seconds` have passed. Later calls are ignored.
   void drain(std::function<void()> drained);
 
-  /// Runs one online request to its end on the exchange's strand.
+  /// Serves one online request to completion on the exchange's strand.
+  /// @param resume_tokens tokens that the caller already has; the stream continues after them.
   boost::asio::awaitable<void> serve_online(HttpExchange& exchange, OnlineRequest request,
                                             std::string body, bool wants_stream,
                                             std::uint32_t resume_tokens);
-  /// Calls the owner of a job's shard.
+  /// Sends a request to the owner of a job's shard and waits for its response.
+  /// @param executor a strand on which the calling coroutine runs.
   boost::asio::awaitable<ShardAnswer> call_job(JobId job, ShardRequest request,
                                                boost::asio::any_io_executor executor);
-  /// Changes a resource through the log.
+  /// Changes a resource through the shared log and waits for the outcome.
+  /// @param executor a strand on which the calling coroutine runs.
   boost::asio::awaitable<ChangeOutcome> change_resource(ResourceChange change,
                                                         boost::asio::any_io_executor executor);
 
@@ -69,7 +76,7 @@
   void read_machine_list();
   void poll_loads();
   void check_drained();
-  void carry_out(Effects effects);
+  void execute_effects(Effects effects);
   void perform(SendToPeer& effect);
   void perform(AppendToLog& effect);
   void perform(ReadFromLog& effect);
@@ -87,7 +94,7 @@
   boost::asio::any_io_executor executor_;
   PeerTransport transport_;
   std::unique_ptr<LogClient> log_;
-  std::unique_ptr<MachineListClient> machines_;
+  std::unique_ptr<MachineListClient> machine_list_;
   std::unique_ptr<EngineClient> engines_;
   NodeCore core_;
 
@@ -99,11 +106,11 @@
   Timer tick_timer_;
   TimePoint next_machine_read_;
   TimePoint next_load_poll_;
-  TimePoint next_check_;
+  TimePoint next_state_check_;
   std::atomic<bool> stopping_{false};
   TimePoint drain_deadline_;
   std::function<void()> drained_;
-  NodeChangeLog change_log_;
+  NodeStateLogger state_logger_;
 };
 
 }  // namespace stoathold
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -25,8 +25,8 @@
   bool served = co_await serve_caller(runtime, exchange);
   if (!served) served = co_await serve_operator(runtime, exchange);
   if (served) co_return;
-  const Error error = not_run(ErrorCode::kNotFound, Step::kParse, "no such resource");
-  co_await refuse(exchange, error);
+  const Error error = not_run_error(ErrorCode::kNotFound, Step::kParse, "no such resource");
+  co_await send_error_response(exchange, error);
 }
 
 void run_until_stopped(const NodeSettings& settings) {
@@ -41,20 +41,21 @@
   runtime.start();
   server.start();
   asio::signal_set signals(context, SIGTERM, SIGINT);
-  Timer farewell(context);
+  Timer shutdown_timer(context);
   signals.async_wait([&](boost::system::error_code error, int /*signal*/) {
     if (error) return;
     runtime.drain([&] {
-      constexpr auto kFarewell = std::chrono::milliseconds(200);
-      farewell.expires_after(kFarewell);
-      farewell.async_wait([&](boost::system::error_code) { context.stop(); });
+      // Leaves time to send the leave message and the last responses.
+      constexpr auto kShutdownDelay = std::chrono::milliseconds(200);
+      shutdown_timer.expires_after(kShutdownDelay);
+      shutdown_timer.async_wait([&](boost::system::error_code) { context.stop(); });
     });
   });
   std::vector<std::thread> workers;
   for (std::uint32_t i = 1; i < settings.worker_threads; ++i) {
     workers.emplace_back([&context] { context.run(); });
   }
-  // Its settings are never read again: SIGHUP stays held.
+  // SIGHUP stays blocked: this process does not reload its settings.
   heed_signals({SIGTERM, SIGINT});
   context.run();
   hold_signals();
--- a/src/server/one_shot.h
+++ b/src/server/one_shot.h
@@ -1,5 +1,5 @@
 /// @file
-/// A value that one coroutine waits for and another thread provides once.
+/// One-shot channels: a value that is set once, on any thread, and awaited by one coroutine.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -17,14 +17,15 @@
 
 namespace stoathold {
 
-/// Carries one value to a coroutine on `executor` (a strand). Shared by both sides.
+/// One-shot channel to a coroutine that runs on `executor` (a strand). The producer and the
+/// consumer share it through a `shared_ptr`.
 template <typename Value>
 class OneShot : public std::enable_shared_from_this<OneShot<Value>> {
  public:
   explicit OneShot(const boost::asio::any_io_executor& executor)
       : timer_(executor, Timer::time_point::max()) {}
 
-  /// Provides the value; later calls are ignored. Any thread.
+  /// Sets the value; later calls are ignored. May be called on any thread.
   void set(Value value) {
     auto self = this->shared_from_this();
     boost::asio::post(timer_.get_executor(), [self, value = std::move(value)]() mutable {
@@ -34,7 +35,7 @@
     });
   }
 
-  /// Waits for the value; on the executor only.
+  /// Waits for the value. Must be awaited on the executor, and only once.
   boost::asio::awaitable<Value> wait() {
     while (!value_) {
       co_await timer_.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
@@ -47,26 +48,27 @@
   std::optional<Value> value_;
 };
 
-/// Brings answers and their waiters together, whichever comes first. Not thread safe.
+/// Matches results with the coroutines that wait for them, in either order of arrival. Not thread
+/// safe.
 template <typename Value>
 class WaiterTable {
  public:
   using Waiter = std::shared_ptr<OneShot<Value>>;
 
-  /// Registers a waiter for a call; an answer that came before is given to it at once.
+  /// Registers the waiter of a call; a result that arrived earlier is delivered at once.
   void add(std::uint64_t call, Waiter waiter) {
-    if (auto early = early_.extract(call); !early.empty()) {
-      waiter->set(std::move(early.mapped()));
+    if (auto unclaimed = unclaimed_.extract(call); !unclaimed.empty()) {
+      waiter->set(std::move(unclaimed.mapped()));
       return;
     }
     waiters_[call] = std::move(waiter);
   }
 
-  /// Gives an answer to its waiter, or keeps it until the waiter is registered.
+  /// Delivers the result of a call, or stores it until the waiter is registered.
   void answer(std::uint64_t call, Value value) {
     auto waiter = waiters_.extract(call);
     if (waiter.empty()) {
-      early_[call] = std::move(value);
+      unclaimed_[call] = std::move(value);
     } else {
       waiter.mapped()->set(std::move(value));
     }
@@ -76,7 +78,7 @@
 
  private:
   std::unordered_map<std::uint64_t, Waiter> waiters_;
-  std::unordered_map<std::uint64_t, Value> early_;
+  std::unordered_map<std::uint64_t, Value> unclaimed_;
 };
 
 }  // namespace stoathold
--- a/src/server/online_session.cc
+++ b/src/server/online_session.cc
@@ -15,7 +15,7 @@
 constexpr std::string_view kDataField = "data: ";
 constexpr std::string_view kEventStream = "text/event-stream";
 
-std::string content_of(std::string_view data) {
+std::string delta_content(std::string_view data) {
   boost::system::error_code error;
   const auto value = json::parse(json::string_view(data.data(), data.size()), error);
   if (error) return {};
@@ -32,27 +32,27 @@
   while ((position = events.find(kDataField, position)) != std::string_view::npos) {
     const std::size_t begin = position + kDataField.size();
     const std::size_t end = events.find('\n', begin);
-    text += content_of(events.substr(begin, end - begin));
+    text += delta_content(events.substr(begin, end - begin));
     if (end == std::string_view::npos) break;
     position = end;
   }
   return text;
 }
 
-OnlineSession::OnlineSession(HttpExchange& exchange, std::string body, std::string name,
+OnlineSession::OnlineSession(HttpExchange& exchange, std::string body, std::string request_name,
                              bool wants_stream)
     : exchange_(exchange),
       body_(std::move(body)),
-      name_(std::move(name)),
+      request_name_(std::move(request_name)),
       wants_stream_(wants_stream),
-      end_(std::make_shared<OneShot<SessionEnd>>(exchange.executor())),
-      idle_(exchange.executor(), Timer::time_point::max()) {}
+      outcome_(std::make_shared<OneShot<SessionOutcome>>(exchange.executor())),
+      streams_ended_timer_(exchange.executor(), Timer::time_point::max()) {}
 
 asio::awaitable<bool> OnlineSession::on_events(std::string_view events,
                                                std::uint32_t /*last_token*/) {
   if (closed_) co_return false;
   if (!wants_stream_) {
-    collected_.append(events);
+    buffered_events_.append(events);
     co_return true;
   }
   if (!head_sent_) {
@@ -65,44 +65,46 @@
 }
 
 void OnlineSession::stream_ended() {
-  if (--streams_ == 0) idle_.cancel();
+  if (--streams_ == 0) streams_ended_timer_.cancel();
 }
 
 asio::awaitable<void> OnlineSession::run(const std::string& model) {
-  const SessionEnd end = co_await end_->wait();
+  const SessionOutcome outcome = co_await outcome_->wait();
   closed_ = true;
-  while (streams_ > 0) co_await idle_.async_wait(asio::as_tuple(asio::use_awaitable));
-  if (wants_stream_ && (head_sent_ || end.succeeded)) {
-    co_await write_stream_end(end);
+  while (streams_ > 0)
+    co_await streams_ended_timer_.async_wait(asio::as_tuple(asio::use_awaitable));
+  if (wants_stream_ && (head_sent_ || outcome.succeeded)) {
+    co_await write_stream_end(outcome);
   } else {
-    co_await write_whole(end, model);
+    co_await write_complete_response(outcome, model);
   }
 }
 
-asio::awaitable<void> OnlineSession::write_stream_end(const SessionEnd& end) {
+asio::awaitable<void> OnlineSession::write_stream_end(const SessionOutcome& outcome) {
   if (!head_sent_) {
     const bool started = co_await exchange_.start_stream(kEventStream);
     if (!started) co_return;
   }
-  if (end.succeeded) {
+  if (outcome.succeeded) {
     const bool written = co_await exchange_.write(kEndEvent);
     if (!written) co_return;
   } else {
-    const std::string event = "event: error\ndata: " + refusal_body(end.error) + "\n\n";
+    const std::string event = "event: error\ndata: " + error_response_body(outcome.error) + "\n\n";
     const bool written = co_await exchange_.write(event);
     if (!written) co_return;
   }
   co_await exchange_.finish_stream();
 }
 
-asio::awaitable<void> OnlineSession::write_whole(const SessionEnd& end, const std::string& model) {
-  if (!end.succeeded) {
-    co_await refuse(exchange_, end.error);
+asio::awaitable<void> OnlineSession::write_complete_response(const SessionOutcome& outcome,
+                                                             const std::string& model) {
+  if (!outcome.succeeded) {
+    co_await send_error_response(exchange_, outcome.error);
     co_return;
   }
-  json::object message{{"role", "assistant"}, {"content", text_of_events(collected_)}};
+  json::object message{{"role", "assistant"}, {"content", text_of_events(buffered_events_)}};
   json::object choice{{"index", 0}, {"message", message}, {"finish_reason", "stop"}};
-  json::object answer{{"id", "chatcmpl-" + name_},
+  json::object answer{{"id", "chatcmpl-" + request_name_},
                       {"object", "chat.completion"},
                       {"model", model},
                       {"choices", json::array{choice}}};
--- a/src/server/operator_api.cc
+++ b/src/server/operator_api.cc
@@ -61,23 +61,23 @@
   return "unknown";
 }
 
-/// Conditions of a service: what is true of it at this node, and why.
+/// Returns the status conditions of a resource as this node sees them, with their reasons.
 json::array conditions_of(NodeRuntime& runtime, const Resource& resource) {
   json::array conditions;
   conditions.push_back(
       json::object{{"type", "Accepted"}, {"status", true}, {"reason", "in force at this node"}});
   if (resource.kind != kServiceKind) return conditions;
-  std::size_t fit = 0;
-  std::size_t all = 0;
+  std::size_t available = 0;
+  std::size_t total = 0;
   for (const auto& runner : runtime.core().runners().list()) {
     if (runner.listed.service != resource.name) continue;
-    ++all;
-    if (!runner.leaving && runner.health != RunnerHealth::kEjected) ++fit;
+    ++total;
+    if (!runner.leaving && runner.health != RunnerHealth::kEjected) ++available;
   }
   const std::string reason =
-      std::to_string(fit) + " of " + std::to_string(all) + " runners are fit to serve";
+      std::to_string(available) + " of " + std::to_string(total) + " runners are fit to serve";
   conditions.push_back(
-      json::object{{"type", "Available"}, {"status", fit > 0}, {"reason", reason}});
+      json::object{{"type", "Available"}, {"status", available > 0}, {"reason", reason}});
   return conditions;
 }
 
@@ -117,8 +117,8 @@
   const auto resource = runtime.core().configuration().find(kind, name);
   if (!resource) {
     const auto error =
-        not_run(ErrorCode::kNotFound, Step::kApply, "no " + kind + " '" + name + "'");
-    co_await refuse(exchange, error);
+        not_run_error(ErrorCode::kNotFound, Step::kApply, "no " + kind + " '" + name + "'");
+    co_await send_error_response(exchange, error);
     co_return;
   }
   co_await respond_json(exchange, to_json(runtime, *resource));
@@ -130,15 +130,15 @@
   const auto* specification =
       !parse_error && value.is_object() ? value.get_object().if_contains("spec") : nullptr;
   if (specification == nullptr) {
-    error = not_run(ErrorCode::kInvalidResource, Step::kParse,
-                    "the body must be a JSON object with 'spec' and 'version'");
+    error = not_run_error(ErrorCode::kInvalidResource, Step::kParse,
+                          "the body must be a JSON object with 'spec' and 'version'");
     return false;
   }
   if (const auto* version = value.get_object().if_contains("version")) {
     boost::system::error_code number_error;
     change.expected_version = Offset{version->to_number<std::uint64_t>(number_error)};
     if (number_error) {
-      error = not_run(ErrorCode::kInvalidResource, Step::kParse, "version must be a number");
+      error = not_run_error(ErrorCode::kInvalidResource, Step::kParse, "version must be a number");
       return false;
     }
   }
@@ -150,7 +150,7 @@
     if (!message.empty()) message += "; ";
     message += fault.field + " " + fault.message;
   }
-  error = not_run(ErrorCode::kInvalidResource, Step::kParse, message);
+  error = not_run_error(ErrorCode::kInvalidResource, Step::kParse, message);
   return false;
 }
 
@@ -158,9 +158,10 @@
                                       ResourceChange change) {
   const std::string subject = change.kind + "/" + change.name;
   if (!runtime.core().readiness().ready) {
-    auto error = not_run(ErrorCode::kNotReady, Step::kApply, runtime.core().readiness().reason);
+    auto error =
+        not_run_error(ErrorCode::kNotReady, Step::kApply, runtime.core().readiness().reason);
     error.retry_after = std::chrono::seconds(1);
-    co_await refuse(exchange, error);
+    co_await send_error_response(exchange, error);
     co_return;
   }
   const bool deleted = change.deleted;
@@ -168,7 +169,7 @@
   if (!outcome.accepted) {
     log_event(Event::kResourceRefused,
               {{"resource", subject}, {"error", outcome.error.code.message()}});
-    co_await refuse(exchange, outcome.error);
+    co_await send_error_response(exchange, outcome.error);
     co_return;
   }
   const auto version = value_of(outcome.version);
@@ -203,7 +204,7 @@
   } else if (method == "PUT") {
     Error error;
     if (!parse_put(exchange.body(), change, error)) {
-      co_await refuse(exchange, error);
+      co_await send_error_response(exchange, error);
       co_return true;
     }
   } else {
@@ -215,28 +216,29 @@
 
 using ResourceKey = std::pair<std::string, std::string>;
 
-std::string watch_line(std::string_view type, json::object object) {
+std::string format_watch_event(std::string_view type, json::object object) {
   return json::serialize(json::object{{"type", type}, {"object", std::move(object)}}) + "\n";
 }
 
-/// Lines for what changed between `known` and now; `known` is brought up to date.
-std::string changes_since(NodeRuntime& runtime, const std::string& kind, Offset from,
-                          std::map<ResourceKey, Offset>& known) {
+/// Formats one event for each resource that differs from `known`, then updates `known`. Resources
+/// that are not in `known` are reported only from version `from` on.
+std::string format_watch_events(NodeRuntime& runtime, const std::string& kind, Offset from,
+                                std::map<ResourceKey, Offset>& known) {
   std::string lines;
   std::map<ResourceKey, Offset> present;
   for (const auto& resource : runtime.core().configuration().list(kind)) {
     const ResourceKey key{resource.kind, resource.name};
     present[key] = resource.version;
-    const auto before = known.find(key);
-    const bool news =
-        before == known.end() ? resource.version >= from : before->second != resource.version;
-    if (!news) continue;
-    const auto type = before == known.end() ? "ADDED" : "MODIFIED";
-    lines += watch_line(type, to_json(runtime, resource));
+    const auto previous = known.find(key);
+    const bool changed =
+        previous == known.end() ? resource.version >= from : previous->second != resource.version;
+    if (!changed) continue;
+    const auto type = previous == known.end() ? "ADDED" : "MODIFIED";
+    lines += format_watch_event(type, to_json(runtime, resource));
   }
   for (const auto& [key, version] : known) {
     if (present.contains(key)) continue;
-    lines += watch_line("DELETED", {{"kind", key.first}, {"name", key.second}});
+    lines += format_watch_event("DELETED", {{"kind", key.first}, {"name", key.second}});
   }
   known = std::move(present);
   return lines;
@@ -254,11 +256,11 @@
   if (!started) co_return;
   Timer timer(exchange.executor());
   while (monotonic_now() < end && runtime.core().readiness().ready) {
-    std::string lines = changes_since(runtime, kind, from, known);
+    std::string lines = format_watch_events(runtime, kind, from, known);
     const bool idle = monotonic_now() - last_line > kWatchKeepAlive;
     if (lines.empty() && idle) {
       const auto version = value_of(runtime.core().configuration().next_offset());
-      lines = watch_line("BOOKMARK", {{"version", version}});
+      lines = format_watch_event("BOOKMARK", {{"version", version}});
     }
     if (!lines.empty()) {
       last_line = monotonic_now();
@@ -301,15 +303,15 @@
 
 json::array shards_json(NodeRuntime& runtime) {
   json::array shards;
-  for (const auto& figures : runtime.core().shards().figures()) {
-    shards.push_back(json::object{{"shard", value_of(figures.shard)},
-                                  {"owned", figures.owned},
-                                  {"epoch", value_of(figures.epoch)},
-                                  {"next_offset", value_of(figures.next_offset)},
-                                  {"jobs", figures.jobs},
-                                  {"items_handed_out", figures.assigned},
-                                  {"replayed_entries", figures.replayed_entries},
-                                  {"replayed_bytes", figures.replayed_bytes}});
+  for (const auto& statistics : runtime.core().shards().figures()) {
+    shards.push_back(json::object{{"shard", value_of(statistics.shard)},
+                                  {"owned", statistics.owned},
+                                  {"epoch", value_of(statistics.epoch)},
+                                  {"next_offset", value_of(statistics.next_offset)},
+                                  {"jobs", statistics.jobs},
+                                  {"items_handed_out", statistics.assigned},
+                                  {"replayed_entries", statistics.replayed_entries},
+                                  {"replayed_bytes", statistics.replayed_bytes}});
   }
   return shards;
 }
@@ -329,10 +331,10 @@
     co_await respond_json(exchange, body);
     co_return;
   }
-  const auto error =
-      not_run(ErrorCode::kNotFound, Step::kForward,
-              "this node has no record of request '" + name + "'; ask the node that received it");
-  co_await refuse(exchange, error);
+  const auto error = not_run_error(
+      ErrorCode::kNotFound, Step::kForward,
+      "this node has no record of request '" + name + "'; ask the node that received it");
+  co_await send_error_response(exchange, error);
 }
 
 asio::awaitable<bool> serve_health(NodeRuntime& runtime, HttpExchange& exchange) {
--- a/src/server/refusal.cc
+++ b/src/server/refusal.cc
@@ -6,7 +6,7 @@
 
 namespace json = boost::json;
 
-int status_of(const Error& error) {
+int http_status_of(const Error& error) {
   switch (static_cast<ErrorCode>(error.code.value())) {
     case ErrorCode::kBadRequest:
     case ErrorCode::kInvalidResource:
@@ -32,7 +32,7 @@
   }
 }
 
-std::string refusal_body(const Error& error) {
+std::string error_response_body(const Error& error) {
   json::object body;
   body["code"] = error.code.value();
   body["type"] = error.code.message();
@@ -44,18 +44,18 @@
   return json::serialize(json::object{{"error", body}});
 }
 
-std::vector<HttpHeader> refusal_headers(const Error& error) {
+std::vector<HttpHeader> error_response_headers(const Error& error) {
   if (error.retry_after.count() == 0) return {};
   const auto seconds = std::chrono::ceil<std::chrono::seconds>(error.retry_after);
   return {{"retry-after", std::to_string(seconds.count())}};
 }
 
-boost::asio::awaitable<void> refuse(HttpExchange& exchange, const Error& error) {
-  co_await exchange.respond(status_of(error), "application/json", refusal_body(error),
-                            refusal_headers(error));
+boost::asio::awaitable<void> send_error_response(HttpExchange& exchange, const Error& error) {
+  co_await exchange.respond(http_status_of(error), "application/json", error_response_body(error),
+                            error_response_headers(error));
 }
 
-Error not_run(ErrorCode code, Step step, std::string message) {
+Error not_run_error(ErrorCode code, Step step, std::string message) {
   return {make_error_code(code), step, "", std::move(message), Execution::kNotRun, Duration{0}};
 }
 
--- a/src/server/settings.cc
+++ b/src/server/settings.cc
@@ -29,7 +29,7 @@
 constexpr std::uint32_t kMaxDrainSeconds = 3600;
 constexpr std::uint32_t kMaxShards = 4096;
 
-const std::array kRules{
+const std::array kSettingRules{
     SettingRule{"name", &NodeSettings::name},
     SettingRule{"region", &NodeSettings::region},
     SettingRule{"zone", &NodeSettings::zone},
@@ -45,7 +45,7 @@
     SettingRule{"log_level", &NodeSettings::log_level},
 };
 
-const std::array<std::string, 4> kLevels{"debug", "info", "warning", "error"};
+const std::array<std::string, 4> kLogLevels{"debug", "info", "warning", "error"};
 
 std::size_t edit_distance(const std::string& left, const std::string& right) {
   std::vector<std::size_t> row(right.size() + 1);
@@ -62,27 +62,27 @@
 }
 
 void check_address(const std::string& field, const std::string& value, bool required,
-                   std::vector<SettingsFault>& faults) {
+                   std::vector<SettingsError>& errors) {
   if (value.empty() && !required) return;
   std::string host;
   std::uint16_t port = 0;
   if (!split_address(value, host, port)) {
-    faults.push_back({"", 0, field, "must be ip:port, is '" + value + "'"});
+    errors.push_back({"", 0, field, "must be ip:port, is '" + value + "'"});
   }
 }
 
 }  // namespace
 
-std::string to_string(const SettingsFault& fault) {
-  std::string place = fault.file.empty() ? "settings" : fault.file;
-  if (fault.line > 0) place += ":" + std::to_string(fault.line);
-  return place + ": " + fault.field + ": " + fault.message;
+std::string to_string(const SettingsError& error) {
+  std::string location = error.file.empty() ? "settings" : error.file;
+  if (error.line > 0) location += ":" + std::to_string(error.line);
+  return location + ": " + error.field + ": " + error.message;
 }
 
 const std::vector<std::string>& setting_names() {
   static const std::vector<std::string> kNames = [] {
     std::vector<std::string> names;
-    for (const auto& rule : kRules) names.emplace_back(rule.name);
+    for (const auto& rule : kSettingRules) names.emplace_back(rule.name);
     return names;
   }();
   return kNames;
@@ -97,9 +97,9 @@
 }
 
 std::string set_setting(NodeSettings& settings, const std::string& name, const std::string& value) {
-  const auto rule = std::find_if(kRules.begin(), kRules.end(),
+  const auto rule = std::find_if(kSettingRules.begin(), kSettingRules.end(),
                                  [&](const SettingRule& entry) { return name == entry.name; });
-  if (rule == kRules.end()) {
+  if (rule == kSettingRules.end()) {
     return "is not a setting; did you mean '" + nearest_name(name, setting_names()) + "'?";
   }
   if (const auto* text = std::get_if<TextMember>(&rule->member)) {
@@ -117,48 +117,48 @@
   return "";
 }
 
-std::vector<SettingsFault> read_settings_file(const std::string& path, NodeSettings& settings) {
-  std::vector<SettingsFault> faults;
+std::vector<SettingsError> read_settings_file(const std::string& path, NodeSettings& settings) {
+  std::vector<SettingsError> errors;
   YAML::Node root;
   try {
     root = YAML::LoadFile(path);
   } catch (const YAML::Exception& exception) {
-    faults.push_back({path, exception.mark.line + 1, "file", exception.msg});
-    return faults;
+    errors.push_back({path, exception.mark.line + 1, "file", exception.msg});
+    return errors;
   }
   if (!root.IsMap()) {
-    faults.push_back({path, 1, "file", "must be a map of settings"});
-    return faults;
+    errors.push_back({path, 1, "file", "must be a map of settings"});
+    return errors;
   }
   for (const auto& item : root) {
     const int line = item.first.Mark().line + 1;
     const std::string name = item.first.Scalar();
     if (!item.second.IsScalar()) {
-      faults.push_back({path, line, name, "must be a single value"});
+      errors.push_back({path, line, name, "must be a single value"});
       continue;
     }
     const std::string message = set_setting(settings, name, item.second.Scalar());
-    if (!message.empty()) faults.push_back({path, line, name, message});
+    if (!message.empty()) errors.push_back({path, line, name, message});
   }
-  return faults;
+  return errors;
 }
 
-std::vector<SettingsFault> check_settings(const NodeSettings& settings) {
-  std::vector<SettingsFault> faults;
-  if (settings.name.empty()) faults.push_back({"", 0, "name", "is required"});
-  if (settings.zone.empty()) faults.push_back({"", 0, "zone", "must not be empty"});
-  check_address("listen", settings.listen, true, faults);
-  check_address("peer_listen", settings.peer_listen, true, faults);
-  check_address("log_service", settings.log_service, true, faults);
-  check_address("machine_list", settings.machine_list, true, faults);
-  check_address("weight_store", settings.weight_store, false, faults);
+std::vector<SettingsError> check_settings(const NodeSettings& settings) {
+  std::vector<SettingsError> errors;
+  if (settings.name.empty()) errors.push_back({"", 0, "name", "is required"});
+  if (settings.zone.empty()) errors.push_back({"", 0, "zone", "must not be empty"});
+  check_address("listen", settings.listen, true, errors);
+  check_address("peer_listen", settings.peer_listen, true, errors);
+  check_address("log_service", settings.log_service, true, errors);
+  check_address("machine_list", settings.machine_list, true, errors);
+  check_address("weight_store", settings.weight_store, false, errors);
   if (settings.log_format != "text" && settings.log_format != "json") {
-    faults.push_back({"", 0, "log_format", "must be text or json"});
+    errors.push_back({"", 0, "log_format", "must be text or json"});
   }
-  if (std::find(kLevels.begin(), kLevels.end(), settings.log_level) == kLevels.end()) {
-    faults.push_back({"", 0, "log_level", "must be debug, info, warning or error"});
+  if (std::find(kLogLevels.begin(), kLogLevels.end(), settings.log_level) == kLogLevels.end()) {
+    errors.push_back({"", 0, "log_level", "must be debug, info, warning or error"});
   }
-  return faults;
+  return errors;
 }
 
 LogFormat log_format_of(const NodeSettings& settings) {
@@ -166,8 +166,8 @@
 }
 
 EventLevel log_level_of(const NodeSettings& settings) {
-  const auto found = std::find(kLevels.begin(), kLevels.end(), settings.log_level);
-  return static_cast<EventLevel>(found - kLevels.begin());
+  const auto found = std::find(kLogLevels.begin(), kLogLevels.end(), settings.log_level);
+  return static_cast<EventLevel>(found - kLogLevels.begin());
 }
 
 }  // namespace stoathold
--- a/tests/server/chat_request_test.cc
+++ b/tests/server/chat_request_test.cc
@@ -8,7 +8,7 @@
 namespace stoathold {
 namespace {
 
-TEST(Utf8Test, OnlyWellFormedSequencesPass) {
+TEST(Utf8Test, AcceptsOnlyWellFormedSequences) {
   EXPECT_TRUE(is_utf8("plain, \xc3\xa9, \xe2\x82\xac, \xf0\x9f\xa6\xa6"));
   for (const char* bad :
        {"\xff", "\xc3", "\xc0\x80", "\xed\xa0\x80", "\xf5\x80\x80\x80", "\xe0\x80\x80", "\x80"}) {
@@ -16,7 +16,7 @@
   }
 }
 
-TEST(ChatRequestTest, TheSameHeadHasTheSamePrefix) {
+TEST(ChatRequestTest, PromptsWithTheSameFirstBytesHaveTheSamePrefixHash) {
   const auto parse = [](const std::string& text) {
     ChatRequest request;
     Error error;
@@ -29,7 +29,7 @@
   EXPECT_NE(parse("a"), parse("b"));
 }
 
-TEST(ChatRequestTest, EveryFaultIsNotRun) {
+TEST(ChatRequestTest, ReportsMalformedRequestsAsNotRun) {
   for (const char* body : {"", "[]", "{}", R"({"model":"m","messages":[]})",
                            R"({"model":"m","messages":[{"content":"a"}],"stream":1})"}) {
     ChatRequest request;
@@ -40,7 +40,7 @@
   }
 }
 
-TEST(HttpTargetTest, SegmentsAndParametersAreDecoded) {
+TEST(HttpTargetTest, DecodesSegmentsAndParameters) {
   const auto target = parse_target("/v1/a%20b?after=5&x=y");
   ASSERT_TRUE(target);
   EXPECT_EQ(target->segments[1], "a b");
@@ -49,7 +49,7 @@
   EXPECT_FALSE(parse_target("/%zz"));
 }
 
-TEST(SettingsTest, TheNearestNameIsOffered) {
+TEST(SettingsTest, SuggestsTheNearestNameAndChecksValues) {
   EXPECT_EQ(nearest_name("lisen", setting_names()), "listen");
   NodeSettings settings;
   EXPECT_NE(set_setting(settings, "worker_threads", "0"), "");
