--- a/apps/stoatctl_main.cc
+++ b/apps/stoatctl_main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// `stoatctl`: the command line of operators and batch users.
+/// `stoatctl`: command line tool for operators and batch users.
 #include <CLI/CLI.hpp>
 #include <boost/json.hpp>
 #include <fstream>
@@ -18,7 +18,7 @@
 using stoathold::ExitCode;
 using stoathold::Manifest;
 
-/// Everything given on the command line.
+/// Parsed command line arguments of all subcommands.
 struct Arguments {
   std::string server = "127.0.0.1:8080";
   std::string output = "table";
@@ -35,8 +35,8 @@
   return static_cast<int>(reply.code);
 }
 
-int print_faults(const std::vector<stoathold::ManifestFault>& faults) {
-  for (const auto& fault : faults) std::cerr << stoathold::to_string(fault) << "\n";
+int print_errors(const std::vector<stoathold::ManifestError>& errors) {
+  for (const auto& error : errors) std::cerr << stoathold::to_string(error) << "\n";
   return static_cast<int>(ExitCode::kUsage);
 }
 
@@ -44,7 +44,7 @@
   return value.is_string() ? std::string(value.get_string()) : json::serialize(value);
 }
 
-/// Prints the items of a list as a table of the given columns.
+/// Prints the items of a list response as a table with the given columns.
 void print_items(const json::value& body, const std::vector<std::string>& columns) {
   std::vector<std::vector<std::string>> rows;
   for (const auto& item : body.at("items").as_array()) {
@@ -58,8 +58,8 @@
   std::cout << stoathold::format_table(columns, rows);
 }
 
-int show(const Arguments& arguments, const ControlReply& reply,
-         const std::vector<std::string>& columns) {
+int print_reply(const Arguments& arguments, const ControlReply& reply,
+                const std::vector<std::string>& columns) {
   if (reply.code != ExitCode::kOk) return fail(reply);
   const bool is_list = reply.body.is_object() && reply.body.get_object().contains("items");
   if (arguments.output == "json" || !is_list) {
@@ -72,8 +72,8 @@
 
 int run_validate(const Arguments& arguments) {
   std::vector<Manifest> manifests;
-  const auto faults = stoathold::read_manifests(arguments.file, manifests);
-  if (!faults.empty()) return print_faults(faults);
+  const auto errors = stoathold::read_manifests(arguments.file, manifests);
+  if (!errors.empty()) return print_errors(errors);
   std::cout << manifests.size() << " manifests are correct\n";
   return 0;
 }
@@ -89,17 +89,18 @@
                      job_headers(tenant, manifest.name));
 }
 
-/// Applies one resource against the version it has now.
+/// Creates or updates one resource, conditional on its current version. An unchanged resource is
+/// not written.
 ControlReply apply_resource(ControlClient& client, const Manifest& manifest) {
   const std::string target = "/v1/resources/" + manifest.kind + "/" + manifest.name;
-  ControlReply present = client.call("GET", target);
+  ControlReply current = client.call("GET", target);
   std::uint64_t version = 0;
-  if (present.code == ExitCode::kOk) {
-    version = present.body.at("version").to_number<std::uint64_t>();
-    const bool same = present.body.at("spec") == json::parse(manifest.specification);
-    if (same) return present;
-  } else if (present.code == ExitCode::kUnreachable) {
-    return present;
+  if (current.code == ExitCode::kOk) {
+    version = current.body.at("version").to_number<std::uint64_t>();
+    const bool same = current.body.at("spec") == json::parse(manifest.specification);
+    if (same) return current;
+  } else if (current.code == ExitCode::kUnreachable) {
+    return current;
   }
   const json::object body{{"version", version}, {"spec", json::parse(manifest.specification)}};
   return client.call("PUT", target, json::serialize(body));
@@ -107,8 +108,8 @@
 
 int run_apply(const Arguments& arguments) {
   std::vector<Manifest> manifests;
-  const auto faults = stoathold::read_manifests(arguments.file, manifests);
-  if (!faults.empty()) return print_faults(faults);
+  const auto errors = stoathold::read_manifests(arguments.file, manifests);
+  if (!errors.empty()) return print_errors(errors);
   ControlClient client(arguments.server);
   for (const auto& manifest : manifests) {
     const bool job = manifest.kind == stoathold::kBatchJobKind;
@@ -130,7 +131,7 @@
   if (!arguments.kind.empty()) target += "/" + arguments.kind;
   if (!arguments.name.empty()) target += "/" + arguments.name;
   ControlClient client(arguments.server);
-  return show(arguments, client.call("GET", target), {"kind", "name", "version", "spec"});
+  return print_reply(arguments, client.call("GET", target), {"kind", "name", "version", "spec"});
 }
 
 int run_watch(const Arguments& arguments) {
@@ -147,9 +148,9 @@
 int run_delete(const Arguments& arguments) {
   ControlClient client(arguments.server);
   const std::string target = "/v1/resources/" + arguments.kind + "/" + arguments.name;
-  const ControlReply present = client.call("GET", target);
-  if (present.code != ExitCode::kOk) return fail(present);
-  const std::string version = cell(present.body.at("version"));
+  const ControlReply current = client.call("GET", target);
+  if (current.code != ExitCode::kOk) return fail(current);
+  const std::string version = cell(current.body.at("version"));
   const ControlReply reply = client.call("DELETE", target + "?version=" + version);
   if (reply.code != ExitCode::kOk) return fail(reply);
   std::cout << arguments.kind << "/" << arguments.name << " deleted\n";
@@ -158,8 +159,8 @@
 
 int run_job_submit(const Arguments& arguments) {
   std::vector<Manifest> manifests;
-  const auto faults = stoathold::read_manifests(arguments.file, manifests);
-  if (!faults.empty()) return print_faults(faults);
+  const auto errors = stoathold::read_manifests(arguments.file, manifests);
+  if (!errors.empty()) return print_errors(errors);
   ControlClient client(arguments.server);
   for (const auto& manifest : manifests) {
     if (manifest.kind != stoathold::kBatchJobKind) continue;
@@ -191,7 +192,7 @@
   ControlClient client(arguments.server);
   const bool cancel = action == "cancel";
   const std::string target = "/v1/batches/" + arguments.name + (cancel ? "/cancel" : "");
-  return show(arguments, client.call(cancel ? "POST" : "GET", target), {});
+  return print_reply(arguments, client.call(cancel ? "POST" : "GET", target), {});
 }
 
 int run_explain_logs(const Arguments& arguments) {
@@ -206,24 +207,25 @@
     const auto found = stoathold::read_log_lines(file);
     lines.insert(lines.end(), found.begin(), found.end());
   }
-  const auto story = stoathold::find_story(lines, arguments.name);
-  for (const auto& line : story) std::cout << stoathold::format_log_line(line) << "\n";
-  if (story.empty()) std::cerr << "stoatctl: no line tells of " << arguments.name << "\n";
-  return story.empty() ? static_cast<int>(ExitCode::kUsage) : 0;
+  const auto timeline = stoathold::find_timeline(lines, arguments.name);
+  for (const auto& line : timeline) std::cout << stoathold::format_log_line(line) << "\n";
+  if (timeline.empty()) std::cerr << "stoatctl: no line tells of " << arguments.name << "\n";
+  return timeline.empty() ? static_cast<int>(ExitCode::kUsage) : 0;
 }
 
 int run_explain(const Arguments& arguments) {
   ControlClient client(arguments.server);
   const ControlReply reply = client.call("GET", "/v1/explain/" + arguments.name);
-  if (reply.code != ExitCode::kOk || arguments.output == "json") return show(arguments, reply, {});
+  if (reply.code != ExitCode::kOk || arguments.output == "json")
+    return print_reply(arguments, reply, {});
   for (const auto& line : reply.body.at("history").as_array()) std::cout << cell(line) << "\n";
   return 0;
 }
 
 int run_nodes(const Arguments& arguments) {
   ControlClient client(arguments.server);
-  return show(arguments, client.call("GET", "/v1/nodes"),
-              {"name", "region", "zone", "state", "liveness", "peer_address"});
+  return print_reply(arguments, client.call("GET", "/v1/nodes"),
+                     {"name", "region", "zone", "state", "liveness", "peer_address"});
 }
 
 void add_name(CLI::App* command, Arguments& arguments, const char* help) {
@@ -231,7 +233,7 @@
 }
 
 void add_commands(CLI::App& app, Arguments& arguments) {
-  auto* validate = app.add_subcommand("validate", "Check a manifest file");
+  auto* validate = app.add_subcommand("validate", "Validate a manifest file");
   auto* apply = app.add_subcommand("apply", "Apply a manifest file");
   for (auto* command : {validate, apply}) {
     command->add_option("file", arguments.file, "YAML file")->required();
@@ -239,9 +241,9 @@
   auto* get = app.add_subcommand("get", "Show resources");
   get->add_option("kind", arguments.kind, "Service, Model, PriorityClass or Tenant");
   get->add_option("name", arguments.name, "Name of one resource");
-  auto* watch = app.add_subcommand("watch", "Follow changes of resources");
+  auto* watch = app.add_subcommand("watch", "Stream changes of resources");
   watch->add_option("kind", arguments.kind, "Only this kind");
-  watch->add_option("--seconds", arguments.watch_seconds, "Stop after this time");
+  watch->add_option("--seconds", arguments.watch_seconds, "Stop after this many seconds");
   auto* remove = app.add_subcommand("delete", "Delete a resource");
   remove->add_option("kind", arguments.kind)->required();
   remove->add_option("name", arguments.name)->required();
@@ -255,12 +257,12 @@
   }
   add_name(app.add_subcommand("explain", "Why a request ran where it did, waited or was refused"),
            arguments, "chatcmpl-...");
-  auto* explain_logs =
-      app.add_subcommand("explain-logs", "A request's or job's story from the nodes' log files");
+  auto* explain_logs = app.add_subcommand(
+      "explain-logs", "Timeline of a request, item or job from the log files of nodes");
   explain_logs->add_option("id", arguments.name, "Id of the request, item or job")->required();
-  explain_logs->add_option("files", arguments.files, "Log files; none: standard input");
-  app.add_subcommand("nodes", "Members as this node sees them");
-  app.add_subcommand("version", "Version of this program");
+  explain_logs->add_option("files", arguments.files, "Log files; standard input if none are given");
+  app.add_subcommand("nodes", "List the cluster members as this node sees them");
+  app.add_subcommand("version", "Print the version");
 }
 
 int dispatch(const CLI::App& app, const Arguments& arguments) {
@@ -287,11 +289,12 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Command line of stoathold for operators and batch users."};
+  CLI::App app{"Command line tool of stoathold for operators and batch users."};
   Arguments arguments;
-  app.add_option("--server", arguments.server, "Node to ask, ip:port")->envname("STOATHOLD_SERVER");
+  app.add_option("--server", arguments.server, "Address of the node, ip:port")
+      ->envname("STOATHOLD_SERVER");
   app.add_option("-o,--output", arguments.output)->check(CLI::IsMember({"table", "json"}));
-  app.add_option("--tenant", arguments.tenant, "Tenant that jobs are submitted for");
+  app.add_option("--tenant", arguments.tenant, "Tenant on whose behalf jobs are submitted");
   app.require_subcommand(1);
   app.fallthrough();
   add_commands(app, arguments);
--- a/src/ctl/control_client.cc
+++ b/src/ctl/control_client.cc
@@ -99,9 +99,9 @@
       pending.append(bytes);
       std::size_t end = 0;
       while ((end = pending.find('\n')) != std::string::npos) {
-        const bool go_on = on_line(std::string_view(pending).substr(0, end));
+        const bool proceed = on_line(std::string_view(pending).substr(0, end));
         pending.erase(0, end + 1);
-        if (!go_on) co_return;
+        if (!proceed) co_return;
       }
     }
   };
--- a/src/ctl/log_story.cc
+++ b/src/ctl/log_story.cc
@@ -11,12 +11,12 @@
 
 namespace json = boost::json;
 
-/// Events that tell what a node believes, whatever the request.
-constexpr std::array<std::string_view, 9> kBeliefs{
+/// Events about the state of a node that matter to every request.
+constexpr std::array<std::string_view, 9> kNodeStateEvents{
     "store_lost",    "store_regained",    "configuration_applied", "node_started", "node_draining",
     "slots_changed", "settings_reloaded", "log_lines_left_out",    "replica_reset"};
-constexpr std::array<std::string_view, 4> kRunnerNews{"runner_listed", "runner_gone",
-                                                      "runner_ejected", "runner_recovered"};
+constexpr std::array<std::string_view, 4> kRunnerEvents{"runner_listed", "runner_gone",
+                                                        "runner_ejected", "runner_recovered"};
 
 std::string text_of(const json::value& value) {
   return value.is_string() ? std::string(value.as_string()) : json::serialize(value);
@@ -50,12 +50,12 @@
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-/// Events that tell of all copies of a request, whatever their ids.
-constexpr std::array<std::string_view, 3> kContentNews{"runner_ended_with_request",
-                                                       "request_quarantined", "quarantine_ended"};
+/// Events that are logged per request content, not per request id.
+constexpr std::array<std::string_view, 3> kQuarantineEvents{
+    "runner_ended_with_request", "request_quarantined", "quarantine_ended"};
 
-/// A job's key in the log ends with its id.
-bool tells_of(const LogLine& line, const std::string& id) {
+/// Returns whether a line concerns `id`. Job fields hold a key that ends with the id of the job.
+bool concerns_id(const LogLine& line, const std::string& id) {
   if (line.field("request") == id || line.field("item") == id) return true;
   const std::string job = line.field("job");
   return job == id || job.ends_with("." + id);
@@ -80,40 +80,40 @@
   return lines;
 }
 
-std::vector<LogLine> find_story(const std::vector<LogLine>& lines, const std::string& id) {
-  std::vector<LogLine> story;
+std::vector<LogLine> find_timeline(const std::vector<LogLine>& lines, const std::string& id) {
+  std::vector<LogLine> timeline;
   std::set<std::string> runners;
   std::set<std::string> nodes;
-  std::set<std::string> contents;
-  std::string last;
+  std::set<std::string> content_hashes;
+  std::string end_time;
   for (const auto& line : lines) {
-    if (!tells_of(line, id)) continue;
-    story.push_back(line);
+    if (!concerns_id(line, id)) continue;
+    timeline.push_back(line);
     nodes.insert(line.node);
     if (!line.field("runner").empty()) runners.insert(line.field("runner"));
-    if (!line.field("content").empty()) contents.insert(line.field("content"));
-    last = std::max(last, line.time);
+    if (!line.field("content").empty()) content_hashes.insert(line.field("content"));
+    end_time = std::max(end_time, line.time);
   }
   for (const auto& line : lines) {
-    const bool of_copies = contents.contains(line.field("content"));
-    if (of_copies && is_one_of(kContentNews, line.name)) story.push_back(line);
+    const bool has_same_content = content_hashes.contains(line.field("content"));
+    if (has_same_content && is_one_of(kQuarantineEvents, line.name)) timeline.push_back(line);
   }
-  // Of each kind of news a node got before the end, the newest is what it acted on.
-  std::map<std::string, LogLine> news;
+  // A node acted on the newest event of each kind that it had logged by the end of the timeline.
+  std::map<std::string, LogLine> newest_events;
   for (const auto& line : lines) {
-    if (line.time > last || !nodes.contains(line.node)) continue;
+    if (line.time > end_time || !nodes.contains(line.node)) continue;
     const bool of_runner =
-        is_one_of(kRunnerNews, line.name) && runners.contains(line.field("runner"));
-    if (!of_runner && !is_one_of(kBeliefs, line.name)) continue;
+        is_one_of(kRunnerEvents, line.name) && runners.contains(line.field("runner"));
+    if (!of_runner && !is_one_of(kNodeStateEvents, line.name)) continue;
     const std::string kind = line.node + "/" + line.name + "/" + line.field("runner");
-    LogLine& newest = news[kind];
+    LogLine& newest = newest_events[kind];
     if (newest.time.empty() || line.time > newest.time) newest = line;
   }
-  for (const auto& [kind, line] : news) story.push_back(line);
-  std::stable_sort(story.begin(), story.end(), [](const LogLine& left, const LogLine& right) {
+  for (const auto& [kind, line] : newest_events) timeline.push_back(line);
+  std::stable_sort(timeline.begin(), timeline.end(), [](const LogLine& left, const LogLine& right) {
     return left.time < right.time;
   });
-  return story;
+  return timeline;
 }
 
 std::string format_log_line(const LogLine& line) {
--- a/src/ctl/log_story.h
+++ b/src/ctl/log_story.h
@@ -1,5 +1,5 @@
 /// @file
-/// One request's or item's story, put together from the log lines of many nodes.
+/// Timeline of one request, item or job, collected from the log lines of many nodes.
 #pragma once
 
 #include <istream>
@@ -10,26 +10,26 @@
 
 /// One line of a node's structured log.
 struct LogLine {
-  std::string time;  ///< As written: sorts as text.
+  std::string time;  ///< As logged; lexicographic order is chronological order.
   std::string node;
   int event = 0;
   std::string name;
   std::vector<std::pair<std::string, std::string>> fields;
 
-  /// Returns a field's value, or an empty text.
+  /// Returns the value of a field, or an empty string.
   [[nodiscard]] std::string field(const std::string& name) const;
 };
 
-/// Reads the lines of a log; what is not a structured line is passed over. A prefix before the
-/// first brace, as log collectors add, does no harm.
+/// Parses the structured lines of a log and skips all others. Text before the first brace, such as
+/// a prefix that a log collector adds, is ignored.
 std::vector<LogLine> read_log_lines(std::istream& input);
 
-/// Selects the lines that tell of `id` (a request, an item or a job), and what the nodes concerned
-/// learned meanwhile about the runners concerned, the configuration and the store; in the order of
-/// time.
-std::vector<LogLine> find_story(const std::vector<LogLine>& lines, const std::string& id);
+/// Selects the lines that concern `id` (a request, an item or a job), in chronological order. Adds
+/// the quarantine events of requests with the same content, and the latest state that the nodes
+/// involved had logged about the runners involved, the configuration and the store.
+std::vector<LogLine> find_timeline(const std::vector<LogLine>& lines, const std::string& id);
 
-/// Formats a line for people.
+/// Formats a line for display.
 std::string format_log_line(const LogLine& line);
 
 }  // namespace stoathold
--- a/src/ctl/manifest.cc
+++ b/src/ctl/manifest.cc
@@ -18,9 +18,9 @@
   if (node.Tag() == "!") return json::string(text);  // quoted
   if (text == "true" || text == "false") return text == "true";
   if (text == "null" || text == "~" || text.empty()) return nullptr;
-  std::int64_t whole = 0;
-  const auto result = std::from_chars(text.data(), text.data() + text.size(), whole);
-  if (result.ec == std::errc{} && result.ptr == text.data() + text.size()) return whole;
+  std::int64_t number = 0;
+  const auto result = std::from_chars(text.data(), text.data() + text.size(), number);
+  if (result.ec == std::errc{} && result.ptr == text.data() + text.size()) return number;
   return json::string(text);
 }
 
@@ -42,7 +42,8 @@
   return node.Mark().line + 1;
 }
 
-/// Line of a field of the specification, or of the specification itself.
+/// Returns the line of a field of the specification, or of the specification if the field is
+/// absent; 0 if both are.
 int line_of_field(const YAML::Node& specification, const std::string& field) {
   if (specification && specification.IsMap()) {
     for (const auto& item : specification) {
@@ -52,14 +53,15 @@
   return specification ? line_of(specification) : 0;
 }
 
+/// Parses one YAML document into a `Manifest` and collects its errors.
 class DocumentReader {
  public:
   DocumentReader(const std::string& path, const YAML::Node& document,
-                 std::vector<ManifestFault>& faults)
-      : path_(path), document_(document), faults_(faults) {}
+                 std::vector<ManifestError>& errors)
+      : path_(path), document_(document), errors_(errors) {}
 
   bool read(Manifest& manifest) {
-    const std::size_t before = faults_.size();
+    const std::size_t previous_errors = errors_.size();
     if (!document_.IsMap()) {
       add(line_of(document_), "document", "must be a map with kind, name and spec");
       return false;
@@ -84,12 +86,12 @@
       check_specification(specification, json::serialize(value), manifest);
     }
     manifest.specification = json::serialize(value);
-    return faults_.size() == before;
+    return errors_.size() == previous_errors;
   }
 
  private:
   void add(int line, std::string field, std::string message) {
-    faults_.push_back({path_, line, std::move(field), std::move(message)});
+    errors_.push_back({path_, line, std::move(field), std::move(message)});
   }
 
   std::string text(const char* field) {
@@ -128,34 +130,34 @@
 
   const std::string& path_;
   const YAML::Node& document_;
-  std::vector<ManifestFault>& faults_;
+  std::vector<ManifestError>& errors_;
 };
 
 }  // namespace
 
-std::string to_string(const ManifestFault& fault) {
-  return fault.file + ":" + std::to_string(fault.line) + ": " + fault.field + ": " + fault.message;
+std::string to_string(const ManifestError& error) {
+  return error.file + ":" + std::to_string(error.line) + ": " + error.field + ": " + error.message;
 }
 
-std::vector<ManifestFault> read_manifests(const std::string& path,
+std::vector<ManifestError> read_manifests(const std::string& path,
                                           std::vector<Manifest>& manifests) {
-  std::vector<ManifestFault> faults;
+  std::vector<ManifestError> errors;
   std::vector<YAML::Node> documents;
   try {
     documents = YAML::LoadAllFromFile(path);
   } catch (const YAML::Exception& exception) {
     const int line = exception.mark.line < 0 ? 0 : exception.mark.line + 1;
-    faults.push_back({path, line, "file", exception.msg});
-    return faults;
+    errors.push_back({path, line, "file", exception.msg});
+    return errors;
   }
   for (const auto& document : documents) {
     Manifest manifest;
-    if (DocumentReader(path, document, faults).read(manifest)) {
+    if (DocumentReader(path, document, errors).read(manifest)) {
       manifests.push_back(std::move(manifest));
     }
   }
-  if (documents.empty()) faults.push_back({path, 1, "file", "holds no document"});
-  return faults;
+  if (documents.empty()) errors.push_back({path, 1, "file", "holds no document"});
+  return errors;
 }
 
 }  // namespace stoathold
--- a/src/ctl/manifest.h
+++ b/src/ctl/manifest.h
@@ -1,5 +1,5 @@
 /// @file
-/// Manifests: YAML files that declare resources and batch jobs.
+/// Parsing of manifests: YAML files that declare resources and batch jobs.
 #pragma once
 
 #include <string>
@@ -7,31 +7,31 @@
 
 namespace stoathold {
 
-/// One declared resource.
+/// One declared resource or batch job.
 struct Manifest {
   std::string kind;
   std::string name;
   std::string specification;  ///< JSON text.
-  std::string tenant;         ///< For a `BatchJob`: the tenant it is submitted for.
+  std::string tenant;         ///< For a `BatchJob`: the tenant on whose behalf it is submitted.
   int line = 0;
 };
 
-/// A fault in a manifest file.
-struct ManifestFault {
+/// A validation error in a manifest file, with its location.
+struct ManifestError {
   std::string file;
   int line = 0;
   std::string field;
   std::string message;
 };
 
-/// Kind of a manifest that is submitted as a batch job rather than stored as a resource.
+/// Kind of manifests that are submitted as batch jobs rather than stored as resources.
 inline constexpr const char* kBatchJobKind = "BatchJob";
 
-/// Formats a fault as `file:line: field: message`.
-std::string to_string(const ManifestFault& fault);
-/// Reads every document of a file and checks it.
-/// @return the faults found; `manifests` is complete only if there are none.
-std::vector<ManifestFault> read_manifests(const std::string& path,
+/// Formats an error as `file:line: field: message`.
+std::string to_string(const ManifestError& error);
+/// Parses and validates every document of a file.
+/// @return the errors found; `manifests` is complete only if there are none.
+std::vector<ManifestError> read_manifests(const std::string& path,
                                           std::vector<Manifest>& manifests);
 
 }  // namespace stoathold
--- a/src/ctl/table.h
+++ b/src/ctl/table.h
@@ -1,5 +1,5 @@
 /// @file
-/// Plain text tables for people.
+/// Plain text tables.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace stoathold {
 
-/// Formats rows under a header with columns aligned; ends with a line break.
+/// Formats a header and rows with aligned columns; the text ends with a line break.
 std::string format_table(const std::vector<std::string>& header,
                          const std::vector<std::vector<std::string>>& rows);
 
--- a/tests/ctl/log_story_test.cc
+++ b/tests/ctl/log_story_test.cc
@@ -24,31 +24,31 @@
 {"time":"07","level":"info","event":1408,"name":"item_done","node":"n2","job":"aa.j1","item":"i1"}
 )";
 
-std::vector<std::string> story_of(const std::string& id) {
+std::vector<std::string> timeline_of(const std::string& id) {
   std::istringstream input(kLog);
   std::vector<std::string> names;
-  for (const auto& line : find_story(read_log_lines(input), id)) {
+  for (const auto& line : find_timeline(read_log_lines(input), id)) {
     names.push_back(line.time + " " + line.name);
   }
   return names;
 }
 
-TEST(LogStoryTest, ARequestIsToldWithWhatItsNodeBelieved) {
-  EXPECT_EQ(story_of("q1"),
+TEST(LogTimelineTest, IncludesTheLatestStateOfTheNodesThatServedTheRequest) {
+  EXPECT_EQ(timeline_of("q1"),
             (std::vector<std::string>{"02 runner_listed", "03 store_lost", "05 attempt_failed",
                                       "06 request_unanswered"}));
 }
 
-TEST(LogStoryTest, WhatOtherNodesSawOfCopiesOfARequestBelongsToIt) {
-  EXPECT_EQ(story_of("q2"),
+TEST(LogTimelineTest, IncludesQuarantineEventsOfRequestsWithTheSameContent) {
+  EXPECT_EQ(timeline_of("q2"),
             (std::vector<std::string>{"04 runner_ended_with_request", "08 attempt_failed",
                                       "09 request_quarantined"}));
 }
 
-TEST(LogStoryTest, ItemsAndJobsAreFoundByTheirIds) {
-  EXPECT_EQ(story_of("j1").back(), "07 item_done");
-  EXPECT_EQ(story_of("i1").back(), "07 item_done");
-  EXPECT_TRUE(story_of("unknown").empty());
+TEST(LogTimelineTest, FindsItemsAndJobsById) {
+  EXPECT_EQ(timeline_of("j1").back(), "07 item_done");
+  EXPECT_EQ(timeline_of("i1").back(), "07 item_done");
+  EXPECT_TRUE(timeline_of("unknown").empty());
 }
 
 }  // namespace
