--- a/apps/emulator_main.cc
+++ b/apps/emulator_main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// `stoathold-emulator`: one stand-in per process.
+/// `stoathold-emulator`: runs one emulated service per process.
 #include <yaml-cpp/yaml.h>
 
 #include <CLI/CLI.hpp>
@@ -19,17 +19,17 @@
 
 constexpr int kExitSettings = 2;
 
-/// Options of all stand-ins.
+/// Options of all subcommands.
 struct Options {
   std::string listen = "127.0.0.1:0";
   std::string parameters_file;
   std::string target;
   std::string admin_listen = "127.0.0.1:0";
   std::uint32_t report_lag_ms = 100;
-  std::uint32_t list_lag_ms = 0;
+  std::uint32_t machine_list_lag_ms = 0;
   std::uint32_t fetches_per_minute = 60;
   stoathold::emulator::InferenceRunnerParameters runner;
-  std::uint32_t gap_ms = 5;
+  std::uint32_t event_interval_ms = 5;
 };
 
 bool read_parameters(const std::string& path, EngineParameters& parameters) {
@@ -66,10 +66,9 @@
   return true;
 }
 
-std::unique_ptr<stoathold::emulator::StandIn> make_stand_in(const std::string& kind,
-                                                            const Options& options,
-                                                            const EngineParameters& parameters,
-                                                            asio::io_context& context) {
+std::unique_ptr<stoathold::emulator::EmulatedService> make_service(
+    const std::string& kind, const Options& options, const EngineParameters& parameters,
+    asio::io_context& context) {
   namespace emulator = stoathold::emulator;
   const auto executor = context.get_executor();
   using Milliseconds = std::chrono::milliseconds;
@@ -79,58 +78,65 @@
   }
   if (kind == "log") return emulator::make_log(executor, options.listen);
   if (kind == "machines") {
-    return emulator::make_machines(executor, options.listen, Milliseconds(options.list_lag_ms));
+    return emulator::make_machine_list(executor, options.listen,
+                                       Milliseconds(options.machine_list_lag_ms));
   }
   if (kind == "weights") {
-    return emulator::make_weights(executor, options.listen, options.fetches_per_minute);
+    return emulator::make_weight_store(executor, options.listen, options.fetches_per_minute);
   }
   if (kind == "metadata-store") return emulator::make_metadata_store(executor, options.listen);
   if (kind == "inference-runner") {
     auto runner = options.runner;
-    runner.gap = Milliseconds(options.gap_ms);
+    runner.event_interval = Milliseconds(options.event_interval_ms);
     return emulator::make_inference_runner(executor, options.listen, runner);
   }
   return emulator::make_link(executor, options.listen, options.target, options.admin_listen);
 }
 
-/// Options of the stand-in of a runner.
+/// Adds the options of the emulated inference runner.
 void add_runner_options(CLI::App& command, Options& options) {
-  command.add_option("--id", options.runner.id, "Id of this start of the runner");
-  command.add_option("--slots", options.runner.slots, "Requests at once");
-  command.add_option("--events", options.runner.events, "Events of a stream");
+  command.add_option("--id", options.runner.id, "Instance id of the runner");
+  command.add_option("--slots", options.runner.slots, "Maximum number of concurrent requests");
+  command.add_option("--events", options.runner.events, "Events per stream");
   command.add_option("--event-bytes", options.runner.event_bytes,
-                     "Most bytes of the request's body that an event repeats");
-  command.add_option("--gap-ms", options.gap_ms, "Pause before each event");
-  command.add_option("--time-percent", options.runner.time_percent,
-                     "Time of its work against others', in 100ths");
+                     "Maximum bytes of the request body that each event echoes");
+  command.add_option("--gap-ms", options.event_interval_ms,
+                     "Interval between events, in milliseconds");
+  command.add_option("--time-percent", options.runner.work_time_percent,
+                     "Processing time as a percentage of --gap-ms");
   command.add_flag("--reports-slowness", options.runner.reports_slowness,
-                   "Reports how slow it is at the moment");
+                   "Report the current slowness in the load header");
   command.add_option("--crash-body", options.runner.crash_body,
-                     "Ends when it begins to run a request with this body");
+                     "Exit on starting the response to a request with this body");
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Stand-ins of the systems around stoathold, for tests and measurements."};
+  CLI::App app{"Emulated external services of stoathold, for tests and benchmarks."};
   app.require_subcommand(1);
   Options options;
   for (const char* kind :
        {"engine", "log", "machines", "weights", "link", "metadata-store", "inference-runner"}) {
     auto* command = app.add_subcommand(kind);
-    command->add_option("--listen", options.listen, "ip:port; port 0 takes a free one");
+    command->add_option("--listen", options.listen, "ip:port; port 0 selects a free port");
     if (std::string(kind) == "engine") {
-      command->add_option("--parameters", options.parameters_file, "YAML file of the engine");
-      command->add_option("--report-lag-ms", options.report_lag_ms, "Lag of load reports");
+      command->add_option("--parameters", options.parameters_file,
+                          "YAML file with the engine parameters");
+      command->add_option("--report-lag-ms", options.report_lag_ms,
+                          "Delay of load reports, in milliseconds");
     } else if (std::string(kind) == "machines") {
-      command->add_option("--lag-ms", options.list_lag_ms, "Lag behind the list that was set");
+      command->add_option("--lag-ms", options.machine_list_lag_ms,
+                          "Delay before a new machine list is served, in milliseconds");
     } else if (std::string(kind) == "weights") {
-      command->add_option("--per-minute", options.fetches_per_minute, "Fetches granted a minute");
+      command->add_option("--per-minute", options.fetches_per_minute,
+                          "Weight fetches allowed per minute");
     } else if (std::string(kind) == "inference-runner") {
       add_runner_options(*command, options);
     } else if (std::string(kind) == "link") {
-      command->add_option("--target", options.target, "ip:port that the link leads to")->required();
-      command->add_option("--admin-listen", options.admin_listen, "ip:port of the admin requests");
+      command->add_option("--target", options.target, "ip:port that connections are forwarded to")
+          ->required();
+      command->add_option("--admin-listen", options.admin_listen, "ip:port for admin requests");
     }
   }
   CLI11_PARSE(app, argc, argv);
@@ -140,9 +146,9 @@
   const std::string kind = app.get_subcommands().front()->get_name();
   try {
     asio::io_context context(1);
-    const auto stand_in = make_stand_in(kind, options, parameters, context);
+    const auto service = make_service(kind, options, parameters, context);
     stoathold::log_event(stoathold::Event::kEmulatorStarted,
-                         {{"kind", kind}, {"listen", stand_in->address()}});
+                         {{"kind", kind}, {"listen", service->address()}});
     asio::signal_set signals(context, SIGTERM, SIGINT);
     signals.async_wait([&](boost::system::error_code, int) { context.stop(); });
     context.run();
--- a/emulator/admin.cc
+++ b/emulator/admin.cc
@@ -9,7 +9,7 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
-asio::awaitable<bool> read_admin(HttpExchange& exchange, json::object& body) {
+asio::awaitable<bool> read_admin_body(HttpExchange& exchange, json::object& body) {
   boost::system::error_code error;
   auto value = json::parse(exchange.body(), error);
   if (error || !value.is_object()) {
@@ -20,7 +20,7 @@
   co_return true;
 }
 
-void take_number(const json::object& body, const char* name, std::uint64_t& target) {
+void read_number_field(const json::object& body, const char* name, std::uint64_t& target) {
   const auto* value = body.if_contains(name);
   if (value == nullptr) return;
   boost::system::error_code error;
@@ -28,17 +28,17 @@
   if (!error) target = number;
 }
 
-void take_flag(const json::object& body, const char* name, bool& target) {
+void read_flag_field(const json::object& body, const char* name, bool& target) {
   const auto* value = body.if_contains(name);
   if (value != nullptr && value->is_bool()) target = value->get_bool();
 }
 
-void take_text(const json::object& body, const char* name, std::string& target) {
+void read_text_field(const json::object& body, const char* name, std::string& target) {
   const auto* value = body.if_contains(name);
   if (value != nullptr && value->is_string()) target = std::string(value->get_string());
 }
 
-asio::awaitable<void> answer_admin(HttpExchange& exchange, const std::string& subject) {
+asio::awaitable<void> confirm_admin_request(HttpExchange& exchange, const std::string& subject) {
   log_event(Event::kEmulatorFault, {{"stand_in", subject}, {"faults", exchange.body()}});
   co_await exchange.respond(200, "application/json", "{}");
 }
--- a/emulator/admin.h
+++ b/emulator/admin.h
@@ -1,5 +1,5 @@
 /// @file
-/// Reading of admin requests, shared by the stand-ins.
+/// Parsing of admin requests and responses to them, shared by the emulated services.
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -10,13 +10,15 @@
 
 namespace stoathold::emulator {
 
-/// Parses an admin body; returns false (and answers 400) if it is not a JSON object.
-boost::asio::awaitable<bool> read_admin(HttpExchange& exchange, boost::json::object& body);
-/// Sets `target` if `body` has a number, flag or text of that name.
-void take_number(const boost::json::object& body, const char* name, std::uint64_t& target);
-void take_flag(const boost::json::object& body, const char* name, bool& target);
-void take_text(const boost::json::object& body, const char* name, std::string& target);
-/// Answers an admin request.
-boost::asio::awaitable<void> answer_admin(HttpExchange& exchange, const std::string& subject);
+/// Parses the body of an admin request.
+/// @return false, after responding with status 400, if it is not a JSON object.
+boost::asio::awaitable<bool> read_admin_body(HttpExchange& exchange, boost::json::object& body);
+/// Set `target` to the number, flag or text `name` of `body`; leave it as it is if `body` has none.
+void read_number_field(const boost::json::object& body, const char* name, std::uint64_t& target);
+void read_flag_field(const boost::json::object& body, const char* name, bool& target);
+void read_text_field(const boost::json::object& body, const char* name, std::string& target);
+/// Logs the request body as the active faults of `subject` and responds with status 200.
+boost::asio::awaitable<void> confirm_admin_request(HttpExchange& exchange,
+                                                   const std::string& subject);
 
 }  // namespace stoathold::emulator
--- a/emulator/answer.cc
+++ b/emulator/answer.cc
@@ -13,15 +13,15 @@
 
 constexpr std::uint32_t kBytesPerToken = 4;
 constexpr std::uint32_t kDefaultMaxTokens = 64;
-constexpr std::uint32_t kShortestAnswer = 8;
-constexpr std::uint32_t kAnswerSpread = 57;
-constexpr std::array<std::string_view, 16> kWords{
+constexpr std::uint32_t kMinCompletionTokens = 8;
+constexpr std::uint32_t kCompletionTokenRange = 57;
+constexpr std::array<std::string_view, 16> kVocabulary{
     "the ",  "river ", "stage ", "is ",     "rising ", "and ",  "licence ", "review ",
     "note ", "for ",   "day ",   "centre ", "gauge ",  "held ", "steady ",  "today "};
 
 }  // namespace
 
-bool read_answer_key(const std::string& body, AnswerKey& key) {
+bool parse_completion_spec(const std::string& body, CompletionSpec& spec) {
   boost::system::error_code error;
   const auto value = json::parse(body, error);
   if (error || !value.is_object()) return false;
@@ -35,8 +35,8 @@
     const auto* content =
         message.is_object() ? message.get_object().if_contains("content") : nullptr;
     if (content == nullptr || !content->is_string()) return false;
-    key.prompt += std::string_view(content->get_string());
-    key.prompt += '\n';
+    spec.prompt += std::string_view(content->get_string());
+    spec.prompt += '\n';
   }
   std::uint32_t limit = kDefaultMaxTokens;
   if (const auto* tokens = object.if_contains("max_tokens")) {
@@ -45,22 +45,23 @@
     if (number_error || limit == 0) return false;
   }
   const std::string_view model_name = model->get_string();
-  key.fingerprint = stable_hash(key.prompt, stable_hash(model_name));
-  key.prompt_tokens = static_cast<std::uint32_t>(key.prompt.size()) / kBytesPerToken + 1;
-  const auto natural =
-      static_cast<std::uint32_t>(kShortestAnswer + key.fingerprint % kAnswerSpread);
-  key.answer_tokens = limit <= kDefaultMaxTokens ? std::min(natural, limit) : limit;
+  spec.fingerprint = stable_hash(spec.prompt, stable_hash(model_name));
+  spec.prompt_tokens = static_cast<std::uint32_t>(spec.prompt.size()) / kBytesPerToken + 1;
+  const auto default_length =
+      static_cast<std::uint32_t>(kMinCompletionTokens + spec.fingerprint % kCompletionTokenRange);
+  spec.completion_tokens = limit <= kDefaultMaxTokens ? std::min(default_length, limit) : limit;
   return true;
 }
 
-std::string answer_token(std::uint64_t fingerprint, std::uint32_t index) {
-  const std::uint64_t pick = mix_hashes(fingerprint, index);
-  return std::string(kWords[pick % kWords.size()]);
+std::string completion_token(std::uint64_t fingerprint, std::uint32_t index) {
+  const std::uint64_t hash = mix_hashes(fingerprint, index);
+  return std::string(kVocabulary[hash % kVocabulary.size()]);
 }
 
-std::string whole_answer(const AnswerKey& key) {
+std::string completion_text(const CompletionSpec& spec) {
   std::string text;
-  for (std::uint32_t i = 1; i <= key.answer_tokens; ++i) text += answer_token(key.fingerprint, i);
+  for (std::uint32_t i = 1; i <= spec.completion_tokens; ++i)
+    text += completion_token(spec.fingerprint, i);
   return text;
 }
 
--- a/emulator/engine_model.cc
+++ b/emulator/engine_model.cc
@@ -12,14 +12,15 @@
 }  // namespace
 
 std::shared_ptr<Sequence> EngineModel::add(bool online, const std::string& prompt,
-                                           std::uint32_t prompt_tokens, std::uint32_t answer_tokens,
+                                           std::uint32_t prompt_tokens,
+                                           std::uint32_t completion_tokens,
                                            std::uint32_t resume_tokens) {
   auto sequence = std::make_shared<Sequence>();
   sequence->id = ++last_id_;
   sequence->online = online;
   sequence->prompt_tokens = prompt_tokens;
-  sequence->answer_tokens = answer_tokens;
-  sequence->generated = std::min(resume_tokens, answer_tokens);
+  sequence->completion_tokens = completion_tokens;
+  sequence->generated = std::min(resume_tokens, completion_tokens);
   const std::size_t block_bytes = parameters_.block_tokens * kBytesPerToken;
   std::uint64_t chain = 0;
   for (std::size_t at = 0; at + block_bytes <= prompt.size(); at += block_bytes) {
@@ -31,7 +32,7 @@
 }
 
 void EngineModel::remove(const std::shared_ptr<Sequence>& sequence) {
-  if (sequence->running) release(*sequence);
+  if (sequence->running) release_blocks(*sequence);
   std::erase(running_, sequence);
   std::erase(online_queue_, sequence);
   std::erase(batch_queue_, sequence);
@@ -41,7 +42,7 @@
   return running_.empty() && online_queue_.empty() && batch_queue_.empty();
 }
 
-void EngineModel::release(Sequence& sequence) {
+void EngineModel::release_blocks(Sequence& sequence) {
   blocks_used_ -= sequence.blocks;
   sequence.blocks = 0;
   sequence.running = false;
@@ -59,10 +60,10 @@
   return blocks * parameters_.block_tokens;
 }
 
-void EngineModel::remember_prefix(const Sequence& sequence) {
+void EngineModel::cache_prefix(const Sequence& sequence) {
   for (const std::uint64_t block : sequence.prefix_blocks) {
     if (cache_.contains(block)) continue;
-    if (!take_blocks(1)) return;
+    if (!allocate_blocks(1)) return;
     cache_order_.push_back(block);
     cache_[block] = std::prev(cache_order_.end());
     ++cache_sequence_;
@@ -78,7 +79,7 @@
   }
 }
 
-bool EngineModel::take_blocks(std::uint32_t count) {
+bool EngineModel::allocate_blocks(std::uint32_t count) {
   evict_cache(count);
   if (parameters_.kv_blocks - blocks_used_ < count) return false;
   blocks_used_ += count;
@@ -87,10 +88,10 @@
 
 bool EngineModel::admit(const std::shared_ptr<Sequence>& sequence) {
   if (running_.size() >= parameters_.max_sequences) return false;
-  const std::uint32_t tokens = sequence->prompt_tokens + sequence->answer_tokens;
+  const std::uint32_t tokens = sequence->prompt_tokens + sequence->completion_tokens;
   const std::uint32_t blocks = tokens / parameters_.block_tokens + 1;
   const std::uint32_t cached = std::min(cached_tokens(*sequence), sequence->prompt_tokens);
-  if (!take_blocks(std::min(blocks, parameters_.kv_blocks / 2))) return false;
+  if (!allocate_blocks(std::min(blocks, parameters_.kv_blocks / 2))) return false;
   sequence->blocks = std::min(blocks, parameters_.kv_blocks / 2);
   sequence->prefill_left = sequence->prompt_tokens - cached + sequence->generated;
   sequence->running = true;
@@ -98,12 +99,12 @@
   return true;
 }
 
-bool EngineModel::preempt_one_batch() {
+bool EngineModel::preempt_batch_sequence() {
   const auto is_batch = [](const auto& sequence) { return !sequence->online; };
   const auto found = std::find_if(running_.rbegin(), running_.rend(), is_batch);
   if (found == running_.rend()) return false;
   const auto sequence = *found;
-  release(*sequence);
+  release_blocks(*sequence);
   std::erase(running_, sequence);
   batch_queue_.push_front(sequence);
   ++preemptions_;
@@ -116,7 +117,7 @@
 
 Duration EngineModel::begin_step() {
   admit_from(online_queue_);
-  while (!online_queue_.empty() && preempt_one_batch()) admit_from(online_queue_);
+  while (!online_queue_.empty() && preempt_batch_sequence()) admit_from(online_queue_);
   if (online_queue_.empty()) admit_from(batch_queue_);
   Duration time = parameters_.step_base +
                   parameters_.step_per_sequence * static_cast<Duration::rep>(running_.size());
@@ -134,33 +135,33 @@
 }
 
 std::vector<std::shared_ptr<Sequence>> EngineModel::end_step() {
-  std::vector<std::shared_ptr<Sequence>> stepped;
+  std::vector<std::shared_ptr<Sequence>> advanced;
   for (const auto& sequence : running_) {
     if (sequence->prefill_left > 0) continue;
-    if (sequence->generated < sequence->answer_tokens) ++sequence->generated;
-    stepped.push_back(sequence);
+    if (sequence->generated < sequence->completion_tokens) ++sequence->generated;
+    advanced.push_back(sequence);
   }
-  for (const auto& sequence : stepped) {
+  for (const auto& sequence : advanced) {
     if (!sequence->done()) continue;
-    release(*sequence);
+    release_blocks(*sequence);
     std::erase(running_, sequence);
-    remember_prefix(*sequence);
+    cache_prefix(*sequence);
   }
-  return stepped;
+  return advanced;
 }
 
-EngineFigures EngineModel::figures() const {
-  EngineFigures figures;
+EngineStatistics EngineModel::statistics() const {
+  EngineStatistics statistics;
   for (const auto& sequence : running_) {
-    ++(sequence->online ? figures.online_running : figures.batch_running);
+    ++(sequence->online ? statistics.online_running : statistics.batch_running);
   }
-  figures.online_queued = static_cast<std::uint32_t>(online_queue_.size());
-  figures.batch_queued = static_cast<std::uint32_t>(batch_queue_.size());
-  figures.blocks_used = blocks_used_;
-  figures.preemptions = preemptions_;
-  figures.prefix_hits = prefix_hits_;
-  figures.cache_sequence = cache_sequence_;
-  return figures;
+  statistics.online_queued = static_cast<std::uint32_t>(online_queue_.size());
+  statistics.batch_queued = static_cast<std::uint32_t>(batch_queue_.size());
+  statistics.blocks_used = blocks_used_;
+  statistics.preemptions = preemptions_;
+  statistics.prefix_hits = prefix_hits_;
+  statistics.cache_sequence = cache_sequence_;
+  return statistics;
 }
 
 }  // namespace stoathold::emulator
--- a/emulator/engine_stand_in.cc
+++ b/emulator/engine_stand_in.cc
@@ -20,12 +20,12 @@
 constexpr auto kNoThrow = asio::as_tuple(asio::use_awaitable);
 constexpr Duration kLoadSamplePeriod = std::chrono::milliseconds(10);
 
-std::string token_event(const std::string& name, const std::string& model, std::uint64_t print,
-                        std::uint32_t token, bool last) {
+std::string token_event(const std::string& name, const std::string& model,
+                        std::uint64_t fingerprint, std::uint32_t token, bool last) {
   std::string event = "id: " + std::to_string(token) + "\ndata: {\"id\":\"chatcmpl-" + name +
                       "\",\"object\":\"chat.completion.chunk\",\"model\":\"" + model +
                       "\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" +
-                      answer_token(print, token) + "\"},\"finish_reason\":";
+                      completion_token(fingerprint, token) + "\"},\"finish_reason\":";
   event += last ? "\"stop\"}]}\n\n" : "null}]}\n\n";
   return event;
 }
@@ -36,10 +36,11 @@
   return error ? std::string() : std::string(value.at("model").as_string());
 }
 
-class EngineStandIn final : public StandIn {
+/// Serves chat completions, load reports and model orders from an `EngineModel`.
+class EmulatedEngine final : public EmulatedService {
  public:
-  EngineStandIn(const asio::any_io_executor& executor, const std::string& listen,
-                EngineParameters parameters, Duration report_lag)
+  EmulatedEngine(const asio::any_io_executor& executor, const std::string& listen,
+                 EngineParameters parameters, Duration report_lag)
       : model_(parameters),
         step_timer_(executor),
         report_lag_(report_lag),
@@ -51,7 +52,7 @@
   std::string address() const override { return server_.address(); }
 
  private:
-  /// A stream that waits for its tokens.
+  /// Timer with which `end_step` wakes a stream that waits for tokens.
   struct Waiter {
     explicit Waiter(const asio::any_io_executor& executor)
         : timer(executor, asio::steady_timer::time_point::max()) {}
@@ -76,26 +77,26 @@
   }
 
   asio::awaitable<void> serve_chat(HttpExchange& exchange) {
-    AnswerKey key;
+    CompletionSpec spec;
     if (refuse_) {
       co_await exchange.respond(503, "application/json", R"({"error":"refused"})");
       co_return;
     }
-    if (!read_answer_key(exchange.body(), key)) {
+    if (!parse_completion_spec(exchange.body(), spec)) {
       co_await exchange.respond(400, "application/json", R"({"error":"malformed"})");
       co_return;
     }
     const auto resume = parse_number(exchange.header(kEngineResumeHeader)).value_or(0);
     const bool online = exchange.header(kEnginePriorityHeader) != "batch";
-    ++executions_[key.fingerprint];
-    const auto sequence = model_.add(online, key.prompt, key.prompt_tokens, key.answer_tokens,
-                                     static_cast<std::uint32_t>(resume));
-    co_await stream(exchange, key, sequence);
+    ++executions_[spec.fingerprint];
+    const auto sequence = model_.add(online, spec.prompt, spec.prompt_tokens,
+                                     spec.completion_tokens, static_cast<std::uint32_t>(resume));
+    co_await stream(exchange, spec, sequence);
     model_.remove(sequence);
     waiters_.erase(sequence->id);
   }
 
-  asio::awaitable<void> stream(HttpExchange& exchange, const AnswerKey& key,
+  asio::awaitable<void> stream(HttpExchange& exchange, const CompletionSpec& spec,
                                const std::shared_ptr<Sequence>& sequence) {
     const std::string name(exchange.header(kEngineRequestHeader));
     const std::string model = model_of(exchange.body());
@@ -105,12 +106,12 @@
     start_stepping();
     const bool started = co_await exchange.start_stream("text/event-stream");
     if (!started) co_return;
-    while (sent < key.answer_tokens) {
+    while (sent < spec.completion_tokens) {
       while (sequence->generated == sent) co_await waiter->timer.async_wait(kNoThrow);
       std::string events;
       while (sent < sequence->generated) {
         ++sent;
-        events += token_event(name, model, key.fingerprint, sent, sent == key.answer_tokens);
+        events += token_event(name, model, spec.fingerprint, sent, sent == spec.completion_tokens);
       }
       const bool written = co_await exchange.write(events);
       if (!written) co_return;
@@ -142,27 +143,27 @@
 
   asio::awaitable<void> serve_load(HttpExchange& exchange) {
     if (frozen_) {
-      asio::steady_timer never(exchange.executor(), std::chrono::seconds(5));
-      co_await never.async_wait(kNoThrow);
+      asio::steady_timer timer(exchange.executor(), std::chrono::seconds(5));
+      co_await timer.async_wait(kNoThrow);
     }
-    const EngineFigures figures = lagged_figures();
-    const json::object body{{"online_streams", figures.online_running},
-                            {"online_queued", figures.online_queued},
-                            {"batch_streams", figures.batch_running + figures.batch_queued},
-                            {"blocks_used", figures.blocks_used},
-                            {"preemptions", figures.preemptions},
-                            {"prefix_hits", figures.prefix_hits},
-                            {"cache_sequence", figures.cache_sequence},
+    const EngineStatistics statistics = delayed_statistics();
+    const json::object body{{"online_streams", statistics.online_running},
+                            {"online_queued", statistics.online_queued},
+                            {"batch_streams", statistics.batch_running + statistics.batch_queued},
+                            {"blocks_used", statistics.blocks_used},
+                            {"preemptions", statistics.preemptions},
+                            {"prefix_hits", statistics.prefix_hits},
+                            {"cache_sequence", statistics.cache_sequence},
                             {"model", loaded_model_},
                             {"leaving", leaving_ ? 1 : 0}};
     co_await exchange.respond(200, "application/json", json::serialize(body));
   }
 
-  /// Figures as they stood `report_lag` ago.
-  EngineFigures lagged_figures() {
+  /// Returns the statistics as of `report_lag_` ago.
+  EngineStatistics delayed_statistics() {
     const TimePoint now = monotonic_now();
     if (samples_.empty() || now - samples_.back().first >= kLoadSamplePeriod) {
-      samples_.emplace_back(now, model_.figures());
+      samples_.emplace_back(now, model_.statistics());
     }
     while (samples_.size() > 1 && now - samples_[1].first >= report_lag_) samples_.pop_front();
     return samples_.front().second;
@@ -170,10 +171,10 @@
 
   asio::awaitable<void> serve_order(HttpExchange& exchange) {
     json::object body;
-    const bool readable = co_await read_admin(exchange, body);
+    const bool readable = co_await read_admin_body(exchange, body);
     if (!readable) co_return;
     std::uint64_t epoch = 0;
-    take_number(body, "epoch", epoch);
+    read_number_field(body, "epoch", epoch);
     if (epoch < order_epoch_) {
       co_await exchange.respond(409, "application/json", R"({"error":"older epoch"})");
       co_return;
@@ -186,21 +187,21 @@
 
   asio::awaitable<void> serve_faults(HttpExchange& exchange) {
     json::object body;
-    const bool readable = co_await read_admin(exchange, body);
+    const bool readable = co_await read_admin_body(exchange, body);
     if (!readable) co_return;
-    take_flag(body, "refuse", refuse_);
-    take_flag(body, "frozen", frozen_);
-    take_flag(body, "leaving", leaving_);
-    take_number(body, "slow_factor", slow_factor_);
-    take_number(body, "break_after_tokens", break_after_tokens_);
+    read_flag_field(body, "refuse", refuse_);
+    read_flag_field(body, "frozen", frozen_);
+    read_flag_field(body, "leaving", leaving_);
+    read_number_field(body, "slow_factor", slow_factor_);
+    read_number_field(body, "break_after_tokens", break_after_tokens_);
     slow_factor_ = std::max<std::uint64_t>(slow_factor_, 1);
     start_stepping();
-    co_await answer_admin(exchange, "engine");
+    co_await confirm_admin_request(exchange, "engine");
   }
 
   asio::awaitable<void> serve_executions(HttpExchange& exchange) {
     json::object counts;
-    for (const auto& [print, count] : executions_) counts[to_hex(print)] = count;
+    for (const auto& [fingerprint, count] : executions_) counts[to_hex(fingerprint)] = count;
     co_await exchange.respond(200, "application/json", json::serialize(counts));
   }
 
@@ -209,7 +210,7 @@
   const Duration report_lag_;
   std::map<std::uint64_t, std::shared_ptr<Waiter>> waiters_;
   std::map<std::uint64_t, std::uint64_t> executions_;
-  std::deque<std::pair<TimePoint, EngineFigures>> samples_;
+  std::deque<std::pair<TimePoint, EngineStatistics>> samples_;
   std::string loaded_model_;
   std::uint64_t order_epoch_ = 0;
   std::uint64_t slow_factor_ = 1;
@@ -223,10 +224,10 @@
 
 }  // namespace
 
-std::unique_ptr<StandIn> make_engine(const asio::any_io_executor& executor,
-                                     const std::string& listen, EngineParameters parameters,
-                                     Duration report_lag) {
-  return std::make_unique<EngineStandIn>(executor, listen, parameters, report_lag);
+std::unique_ptr<EmulatedService> make_engine(const asio::any_io_executor& executor,
+                                             const std::string& listen, EngineParameters parameters,
+                                             Duration report_lag) {
+  return std::make_unique<EmulatedEngine>(executor, listen, parameters, report_lag);
 }
 
 }  // namespace stoathold::emulator
--- a/emulator/link_stand_in.cc
+++ b/emulator/link_stand_in.cc
@@ -26,10 +26,11 @@
   return {asio::ip::make_address(host), port};
 }
 
-class LinkStandIn final : public StandIn {
+/// TCP proxy that can delay traffic and cut all connections.
+class EmulatedLink final : public EmulatedService {
  public:
-  LinkStandIn(const asio::any_io_executor& executor, const std::string& listen,
-              const std::string& target, const std::string& admin_listen)
+  EmulatedLink(const asio::any_io_executor& executor, const std::string& listen,
+               const std::string& target, const std::string& admin_listen)
       : executor_(executor),
         acceptor_(executor, endpoint_of(listen)),
         target_(endpoint_of(target)),
@@ -45,15 +46,15 @@
   }
 
  private:
-  struct Pair {
-    explicit Pair(Tcp::socket near_in, const asio::any_io_executor& executor)
-        : near(std::move(near_in)), far(executor) {}
-    Tcp::socket near;
-    Tcp::socket far;
+  struct ProxiedConnection {
+    explicit ProxiedConnection(Tcp::socket client_in, const asio::any_io_executor& executor)
+        : client(std::move(client_in)), upstream(executor) {}
+    Tcp::socket client;
+    Tcp::socket upstream;
     void close() {
       boost::system::error_code ignored;
-      near.close(ignored);
-      far.close(ignored);
+      client.close(ignored);
+      upstream.close(ignored);
     }
   };
 
@@ -62,21 +63,23 @@
       auto [error, socket] = co_await acceptor_.async_accept(kNoThrow);
       if (error) co_return;
       if (cut_) continue;
-      auto pair = std::make_shared<Pair>(std::move(socket), executor_);
-      asio::co_spawn(executor_, join(pair), asio::detached);
+      auto connection = std::make_shared<ProxiedConnection>(std::move(socket), executor_);
+      asio::co_spawn(executor_, connect_upstream(connection), asio::detached);
     }
   }
 
-  asio::awaitable<void> join(std::shared_ptr<Pair> pair) {
-    const auto [error] = co_await pair->far.async_connect(target_, kNoThrow);
+  asio::awaitable<void> connect_upstream(std::shared_ptr<ProxiedConnection> connection) {
+    const auto [error] = co_await connection->upstream.async_connect(target_, kNoThrow);
     if (error) co_return;
-    pairs_.insert(pair);
-    asio::co_spawn(executor_, copy(pair, pair->near, pair->far), asio::detached);
-    co_await copy(pair, pair->far, pair->near);
-    pairs_.erase(pair);
+    connections_.insert(connection);
+    asio::co_spawn(executor_, forward(connection, connection->client, connection->upstream),
+                   asio::detached);
+    co_await forward(connection, connection->upstream, connection->client);
+    connections_.erase(connection);
   }
 
-  asio::awaitable<void> copy(std::shared_ptr<Pair> pair, Tcp::socket& from, Tcp::socket& to) {
+  asio::awaitable<void> forward(std::shared_ptr<ProxiedConnection> connection, Tcp::socket& from,
+                                Tcp::socket& to) {
     std::vector<char> bytes(kCopyBytes);
     while (true) {
       const auto [read_error, count] = co_await from.async_read_some(asio::buffer(bytes), kNoThrow);
@@ -89,25 +92,25 @@
           co_await asio::async_write(to, asio::buffer(bytes.data(), count), kNoThrow);
       if (write_error) break;
     }
-    pair->close();
+    connection->close();
   }
 
   asio::awaitable<void> serve_admin(HttpExchange& exchange) {
     json::object body;
-    const bool readable = co_await read_admin(exchange, body);
+    const bool readable = co_await read_admin_body(exchange, body);
     if (!readable) co_return;
-    take_flag(body, "cut", cut_);
-    take_number(body, "delay_ms", delay_ms_);
+    read_flag_field(body, "cut", cut_);
+    read_number_field(body, "delay_ms", delay_ms_);
     if (cut_) {
-      for (const auto& pair : pairs_) pair->close();
+      for (const auto& connection : connections_) connection->close();
     }
-    co_await answer_admin(exchange, "link");
+    co_await confirm_admin_request(exchange, "link");
   }
 
   asio::any_io_executor executor_;
   Tcp::acceptor acceptor_;
   Tcp::endpoint target_;
-  std::set<std::shared_ptr<Pair>> pairs_;
+  std::set<std::shared_ptr<ProxiedConnection>> connections_;
   bool cut_ = false;
   std::uint64_t delay_ms_ = 0;
   HttpServer admin_;
@@ -115,9 +118,10 @@
 
 }  // namespace
 
-std::unique_ptr<StandIn> make_link(const asio::any_io_executor& executor, const std::string& listen,
-                                   const std::string& target, const std::string& admin_listen) {
-  return std::make_unique<LinkStandIn>(executor, listen, target, admin_listen);
+std::unique_ptr<EmulatedService> make_link(const asio::any_io_executor& executor,
+                                           const std::string& listen, const std::string& target,
+                                           const std::string& admin_listen) {
+  return std::make_unique<EmulatedLink>(executor, listen, target, admin_listen);
 }
 
 }  // namespace stoathold::emulator
--- a/emulator/log_model.cc
+++ b/emulator/log_model.cc
@@ -90,20 +90,20 @@
 }
 
 void GroupModel::expire(TimePoint now) {
-  const auto gone = std::erase_if(members_, [now](const auto& entry) {
+  const auto expired = std::erase_if(members_, [now](const auto& entry) {
     return now - entry.second.last_join > entry.second.time_to_live;
   });
-  if (gone > 0) deal();
+  if (expired > 0) assign_slots();
 }
 
-void GroupModel::deal() {
+void GroupModel::assign_slots() {
   ++generation_;
-  targets_.clear();
-  std::erase_if(holders_, [&](const auto& entry) { return !members_.contains(entry.second); });
+  target_holders_.clear();
+  std::erase_if(slot_holders_, [&](const auto& entry) { return !members_.contains(entry.second); });
   if (members_.empty()) return;
   auto next = members_.begin();
   for (std::uint32_t slot = 0; slot < slots_; ++slot) {
-    targets_[slot] = next->first;
+    target_holders_[slot] = next->first;
     if (++next == members_.end()) next = members_.begin();
   }
 }
@@ -112,17 +112,18 @@
   expire(now);
   const bool added = !members_.contains(member.name);
   members_[member.name] = {now, member.time_to_live};
-  if (added) deal();
+  if (added) assign_slots();
   GroupAssignment assignment;
   assignment.status = LogStatus::kOk;
   for (std::uint32_t slot = 0; slot < slots_; ++slot) {
-    const bool wanted = targets_[slot] == member.name;
-    const auto holder = holders_.find(slot);
-    const bool held = holder != holders_.end() && holder->second == member.name;
-    if (held && !wanted && member.generation >= generation_) holders_.erase(holder);
-    if (wanted && holder == holders_.end()) holders_[slot] = member.name;
-    const auto now_held = holders_.find(slot);
-    const bool listed = wanted && now_held != holders_.end() && now_held->second == member.name;
+    const bool assigned = target_holders_[slot] == member.name;
+    const auto holder = slot_holders_.find(slot);
+    const bool held = holder != slot_holders_.end() && holder->second == member.name;
+    if (held && !assigned && member.generation >= generation_) slot_holders_.erase(holder);
+    if (assigned && holder == slot_holders_.end()) slot_holders_[slot] = member.name;
+    const auto now_held = slot_holders_.find(slot);
+    const bool listed =
+        assigned && now_held != slot_holders_.end() && now_held->second == member.name;
     if (listed) assignment.slots.push_back(slot);
   }
   assignment.generation = generation_;
@@ -131,11 +132,11 @@
 
 void GroupModel::leave(const std::string& name, TimePoint now) {
   expire(now);
-  if (members_.erase(name) > 0) deal();
+  if (members_.erase(name) > 0) assign_slots();
 }
 
 std::vector<std::pair<std::uint32_t, std::string>> GroupModel::owners() const {
-  return {holders_.begin(), holders_.end()};
+  return {slot_holders_.begin(), slot_holders_.end()};
 }
 
 }  // namespace stoathold::emulator
--- a/emulator/log_stand_in.cc
+++ b/emulator/log_stand_in.cc
@@ -17,9 +17,10 @@
 constexpr std::uint64_t kReadLimit = 1000;
 constexpr std::size_t kReadBytes = 8ULL * 1024 * 1024;
 
-class LogStandIn final : public StandIn {
+/// Append-only log in memory, with injected faults.
+class EmulatedLog final : public EmulatedService {
  public:
-  LogStandIn(const asio::any_io_executor& executor, const std::string& listen)
+  EmulatedLog(const asio::any_io_executor& executor, const std::string& listen)
       : server_(executor, listen, HttpLimits{},
                 [this](HttpExchange& exchange) { return serve(exchange); }) {
     server_.start();
@@ -31,17 +32,17 @@
   asio::awaitable<void> serve(HttpExchange& exchange) {
     if (exchange.target() == "/admin/faults") {
       json::object body;
-      const bool readable = co_await read_admin(exchange, body);
+      const bool readable = co_await read_admin_body(exchange, body);
       if (!readable) co_return;
-      take_flag(body, "outage", outage_);
-      take_number(body, "delay_ms", delay_ms_);
-      take_number(body, "lose_answers", lose_answers_);
-      take_number(body, "drop_appends", drop_appends_);
-      co_await answer_admin(exchange, "log");
+      read_flag_field(body, "outage", outage_);
+      read_number_field(body, "delay_ms", delay_ms_);
+      read_number_field(body, "lose_answers", lost_responses_);
+      read_number_field(body, "drop_appends", drop_appends_);
+      co_await confirm_admin_request(exchange, "log");
       co_return;
     }
     if (exchange.target() == "/admin/figures") {
-      co_await serve_figures(exchange);
+      co_await serve_statistics(exchange);
       co_return;
     }
     if (delay_ms_ > 0) {
@@ -74,8 +75,8 @@
     ++appends_;
     append_bytes_ += exchange.body().size();
     const std::size_t offset = entries.size();
-    if (lose_answers_ > 0) {
-      --lose_answers_;
+    if (lost_responses_ > 0) {
+      --lost_responses_;
       exchange.abort();
       co_return;
     }
@@ -98,23 +99,23 @@
     co_await exchange.respond(200, "application/octet-stream", frame_entries(page), headers);
   }
 
-  asio::awaitable<void> serve_figures(HttpExchange& exchange) {
+  asio::awaitable<void> serve_statistics(HttpExchange& exchange) {
     std::size_t bytes = 0;
     for (const auto& [name, entries] : streams_) {
       for (const auto& entry : entries) bytes += entry.size();
     }
-    const json::object figures{{"appends", appends_},
-                               {"append_bytes", append_bytes_},
-                               {"reads", reads_},
-                               {"streams", streams_.size()},
-                               {"stored_bytes", bytes}};
-    co_await exchange.respond(200, "application/json", json::serialize(figures));
+    const json::object statistics{{"appends", appends_},
+                                  {"append_bytes", append_bytes_},
+                                  {"reads", reads_},
+                                  {"streams", streams_.size()},
+                                  {"stored_bytes", bytes}};
+    co_await exchange.respond(200, "application/json", json::serialize(statistics));
   }
 
   std::map<std::string, std::vector<std::string>> streams_;
   bool outage_ = false;
   std::uint64_t delay_ms_ = 0;
-  std::uint64_t lose_answers_ = 0;
+  std::uint64_t lost_responses_ = 0;
   std::uint64_t drop_appends_ = 0;
   std::uint64_t appends_ = 0;
   std::uint64_t append_bytes_ = 0;
@@ -124,9 +125,9 @@
 
 }  // namespace
 
-std::unique_ptr<StandIn> make_log(const asio::any_io_executor& executor,
-                                  const std::string& listen) {
-  return std::make_unique<LogStandIn>(executor, listen);
+std::unique_ptr<EmulatedService> make_log(const asio::any_io_executor& executor,
+                                          const std::string& listen) {
+  return std::make_unique<EmulatedLog>(executor, listen);
 }
 
 }  // namespace stoathold::emulator
--- a/emulator/metadata_store_stand_in.cc
+++ b/emulator/metadata_store_stand_in.cc
@@ -14,28 +14,28 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
-/// Calls with this header are the operator's: the store serves them also while it fails the nodes.
+/// Marks calls of the operator, which are exempt from injected faults.
 constexpr const char* kOperatorHeader = "X-Operator";
 constexpr std::uint32_t kPartitions = 8;
-/// How often a held read looks for new records.
-constexpr Duration kLookEvery = std::chrono::milliseconds(5);
+/// Period at which a long-polling read checks for new records.
+constexpr Duration kPollPeriod = std::chrono::milliseconds(5);
 
-/// Faults of the next calls, set by tests.
-struct Faults {
+/// Injected faults, set by tests.
+struct StoreFaults {
   std::string outage;  ///< `silent`, `busy`, `reset`, or empty.
-  std::uint64_t lose_answers = 0;
-  std::uint64_t late_appends = 0;  ///< Not answered, and done `late_ms` later.
-  std::uint64_t late_ms = 500;
+  std::uint64_t lost_responses = 0;
+  std::uint64_t delayed_appends = 0;  ///< Get no response and are applied `append_delay_ms` later.
+  std::uint64_t append_delay_ms = 500;
   std::uint64_t delay_ms = 0;
 };
 
-void put_number(std::string& bytes, std::uint64_t number) {
+void append_big_endian(std::string& bytes, std::uint64_t number) {
   for (int shift = 56; shift >= 0; shift -= 8) {
     bytes.push_back(static_cast<char>((number >> shift) & 0xFFU));
   }
 }
 
-/// Parses framed records: the answer to a read without its two leading numbers.
+/// Parses framed records. The format is that of a read response without its two leading numbers.
 bool parse_append(const std::string& body, std::vector<KeyedRecord>& records) {
   ReadResult parsed;
   const std::string framed = std::string(16, '\0') + body;
@@ -46,9 +46,10 @@
   return true;
 }
 
-class MetadataStoreStandIn final : public StandIn {
+/// Serves the metadata store's API from a `LogModel` and a `GroupModel`, with injected faults.
+class EmulatedMetadataStore final : public EmulatedService {
  public:
-  MetadataStoreStandIn(const asio::any_io_executor& executor, const std::string& listen)
+  EmulatedMetadataStore(const asio::any_io_executor& executor, const std::string& listen)
       : executor_(executor),
         server_(executor, listen, HttpLimits{},
                 [this](HttpExchange& exchange) { return serve(exchange); }) {
@@ -58,19 +59,20 @@
   std::string address() const override { return server_.address(); }
 
  private:
-  static asio::awaitable<void> pause(asio::any_io_executor executor, Duration duration) {
+  static asio::awaitable<void> sleep_for(asio::any_io_executor executor, Duration duration) {
     asio::steady_timer timer(executor, duration);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
   }
 
-  static bool meets_faults(const HttpExchange& exchange) {
+  static bool is_subject_to_faults(const HttpExchange& exchange) {
     return exchange.header(kOperatorHeader).empty();
   }
 
+  /// Applies the active faults to a call.
   /// @return whether a fault has ended the call.
-  asio::awaitable<bool> suffer_faults(HttpExchange& exchange) {
+  asio::awaitable<bool> apply_faults(HttpExchange& exchange) {
     if (faults_.delay_ms > 0) {
-      co_await pause(exchange.executor(), std::chrono::milliseconds(faults_.delay_ms));
+      co_await sleep_for(exchange.executor(), std::chrono::milliseconds(faults_.delay_ms));
     }
     if (faults_.outage == "busy") {
       co_await exchange.respond(503, "application/json", "{}");
@@ -80,7 +82,7 @@
       exchange.abort();
       co_return true;
     }
-    while (faults_.outage == "silent") co_await pause(exchange.executor(), kLookEvery);
+    while (faults_.outage == "silent") co_await sleep_for(exchange.executor(), kPollPeriod);
     co_return false;
   }
 
@@ -90,8 +92,8 @@
       co_return;
     }
     ++calls_;
-    const bool faulty = meets_faults(exchange);
-    const bool answered = faulty && co_await suffer_faults(exchange);
+    const bool faulty = is_subject_to_faults(exchange);
+    const bool answered = faulty && co_await apply_faults(exchange);
     if (answered) co_return;
     const auto target = parse_target(exchange.target());
     if (!target || target->segments.size() != 2) {
@@ -104,7 +106,7 @@
     } else if (call == "log-read") {
       co_await read(exchange, *target);
     } else if (call == "log-newest") {
-      co_await newest(exchange, *target);
+      co_await read_newest(exchange, *target);
     } else if (call == "log-join") {
       co_await join(exchange);
     } else if (call == "log-leave") {
@@ -118,17 +120,17 @@
 
   asio::awaitable<void> set_faults(HttpExchange& exchange) {
     json::object body;
-    const bool readable = co_await read_admin(exchange, body);
+    const bool readable = co_await read_admin_body(exchange, body);
     if (!readable) co_return;
     if (const auto* outage = body.if_contains("outage")) {
       faults_.outage = std::string(outage->as_string());
     }
-    take_number(body, "lose_answers", faults_.lose_answers);
-    take_number(body, "late_appends", faults_.late_appends);
-    take_number(body, "late_ms", faults_.late_ms);
-    take_number(body, "delay_ms", faults_.delay_ms);
+    read_number_field(body, "lose_answers", faults_.lost_responses);
+    read_number_field(body, "late_appends", faults_.delayed_appends);
+    read_number_field(body, "late_ms", faults_.append_delay_ms);
+    read_number_field(body, "delay_ms", faults_.delay_ms);
     if (body.contains("drop_history")) model_.drop_history();
-    co_await answer_admin(exchange, "metadata-store");
+    co_await confirm_admin_request(exchange, "metadata-store");
   }
 
   static PartitionName partition_of(const HttpTarget& target) {
@@ -145,14 +147,14 @@
     std::optional<RecordOffset> expected;
     if (target.parameter("at")) expected = target.number("at", 0);
     const PartitionName name = partition_of(target);
-    const bool faulty = meets_faults(exchange);
-    if (faulty && faults_.late_appends > 0) {
-      --faults_.late_appends;
-      const Duration late = std::chrono::milliseconds(faults_.late_ms);
+    const bool faulty = is_subject_to_faults(exchange);
+    if (faulty && faults_.delayed_appends > 0) {
+      --faults_.delayed_appends;
+      const Duration delay = std::chrono::milliseconds(faults_.append_delay_ms);
       asio::co_spawn(
           executor_,
-          [this, name, records, expected, late]() -> asio::awaitable<void> {
-            co_await pause(executor_, late);
+          [this, name, records, expected, delay]() -> asio::awaitable<void> {
+            co_await sleep_for(executor_, delay);
             model_.append(name, records, expected);
           },
           asio::detached);
@@ -160,8 +162,8 @@
       co_return;
     }
     const AppendResult result = model_.append(name, records, expected);
-    if (faulty && faults_.lose_answers > 0) {
-      --faults_.lose_answers;
+    if (faulty && faults_.lost_responses > 0) {
+      --faults_.lost_responses;
       exchange.abort();
       co_return;
     }
@@ -182,7 +184,7 @@
     ReadResult result = model_.read(name, from, bytes);
     while (result.status == LogStatus::kOk && result.records.empty() && monotonic_now() < until &&
            faults_.outage.empty()) {
-      co_await pause(exchange.executor(), kLookEvery);
+      co_await sleep_for(exchange.executor(), kPollPeriod);
       result = model_.read(name, from, bytes);
     }
     if (result.status != LogStatus::kOk) {
@@ -192,13 +194,13 @@
     std::vector<KeyedRecord> records;
     for (auto& record : result.records) records.push_back({record.key, record.value});
     std::string body;
-    put_number(body, result.end);
-    put_number(body, 0);
+    append_big_endian(body, result.end);
+    append_big_endian(body, 0);
     body += platform::frame_records(records);
     co_await exchange.respond(200, "application/octet-stream", std::move(body));
   }
 
-  asio::awaitable<void> newest(HttpExchange& exchange, const HttpTarget& target) {
+  asio::awaitable<void> read_newest(HttpExchange& exchange, const HttpTarget& target) {
     const NewestPage page =
         model_.read_newest_page(partition_of(target), target.parameter("after_rev").value_or(""));
     json::array items;
@@ -218,10 +220,10 @@
     co_await exchange.respond(200, "application/json", std::move(text));
   }
 
-  /// One group is enough: the product has only one.
+  /// Supports a single group, since the nodes use only one.
   asio::awaitable<void> join(HttpExchange& exchange) {
     json::object body;
-    const bool readable = co_await read_admin(exchange, body);
+    const bool readable = co_await read_admin_body(exchange, body);
     if (!readable) co_return;
     const json::array& topics = body["topics"].as_array();
     if (!group_) {
@@ -234,7 +236,7 @@
     member.generation = body["generation"].to_number<std::uint64_t>();
     const GroupAssignment assignment = group_->join(member, monotonic_now());
     json::array parts;
-    for (const std::uint32_t slot : assignment.slots) parts.push_back(row_of(slot));
+    for (const std::uint32_t slot : assignment.slots) parts.push_back(slot_row(slot));
     json::object answer;
     answer["generation"] = assignment.generation;
     answer["parts"] = std::move(parts);
@@ -242,7 +244,7 @@
     co_await exchange.respond(200, "application/json", std::move(text));
   }
 
-  json::array row_of(std::uint32_t slot) const {
+  json::array slot_row(std::uint32_t slot) const {
     json::array row;
     row.emplace_back(topics_[slot / kPartitions]);
     row.emplace_back(slot % kPartitions);
@@ -252,7 +254,7 @@
 
   asio::awaitable<void> leave(HttpExchange& exchange) {
     json::object body;
-    const bool readable = co_await read_admin(exchange, body);
+    const bool readable = co_await read_admin_body(exchange, body);
     if (!readable) co_return;
     if (group_) group_->leave(std::string(body["member"].as_string()), monotonic_now());
     co_await exchange.respond(200, "application/json", "{}");
@@ -262,7 +264,7 @@
     json::array rows;
     if (group_) {
       for (const auto& [slot, member] : group_->owners()) {
-        json::array row = row_of(slot);
+        json::array row = slot_row(slot);
         row.insert(row.begin() + 2, boost::json::value(member));
         rows.push_back(std::move(row));
       }
@@ -277,16 +279,16 @@
   LogModel model_;
   std::optional<GroupModel> group_;
   std::vector<std::string> topics_;
-  Faults faults_;
+  StoreFaults faults_;
   std::uint64_t calls_ = 0;
   HttpServer server_;
 };
 
 }  // namespace
 
-std::unique_ptr<StandIn> make_metadata_store(const asio::any_io_executor& executor,
-                                             const std::string& listen) {
-  return std::make_unique<MetadataStoreStandIn>(executor, listen);
+std::unique_ptr<EmulatedService> make_metadata_store(const asio::any_io_executor& executor,
+                                                     const std::string& listen) {
+  return std::make_unique<EmulatedMetadataStore>(executor, listen);
 }
 
 }  // namespace stoathold::emulator
--- a/emulator/platform_stand_ins.cc
+++ b/emulator/platform_stand_ins.cc
@@ -11,9 +11,11 @@
 
 namespace asio = boost::asio;
 
-class MachinesStandIn final : public StandIn {
+/// Serves the machine list that was set last, after a delay.
+class EmulatedMachineList final : public EmulatedService {
  public:
-  MachinesStandIn(const asio::any_io_executor& executor, const std::string& listen, Duration lag)
+  EmulatedMachineList(const asio::any_io_executor& executor, const std::string& listen,
+                      Duration lag)
       : lag_(lag), server_(executor, listen, HttpLimits{}, [this](HttpExchange& exchange) {
           return serve(exchange);
         }) {
@@ -27,7 +29,7 @@
   asio::awaitable<void> serve(HttpExchange& exchange) {
     if (exchange.target() == "/admin/machines" && exchange.method() == "PUT") {
       lists_.emplace_back(monotonic_now() + lag_, exchange.body());
-      co_await answer_admin(exchange, "machines");
+      co_await confirm_admin_request(exchange, "machines");
       co_return;
     }
     while (lists_.size() > 1 && lists_[1].first <= monotonic_now()) lists_.pop_front();
@@ -42,14 +44,16 @@
   }
 
   const Duration lag_;
-  std::deque<std::pair<TimePoint, std::string>> lists_;  ///< With the time each one shows from.
+  /// Each list with the time from which it is served.
+  std::deque<std::pair<TimePoint, std::string>> lists_;
   HttpServer server_;
 };
 
-class WeightsStandIn final : public StandIn {
+/// Serves weight fetches at a limited rate; responds with status 429 above it.
+class EmulatedWeightStore final : public EmulatedService {
  public:
-  WeightsStandIn(const asio::any_io_executor& executor, const std::string& listen,
-                 std::uint32_t per_minute)
+  EmulatedWeightStore(const asio::any_io_executor& executor, const std::string& listen,
+                      std::uint32_t per_minute)
       : period_(std::chrono::minutes(1) / std::max<std::uint32_t>(per_minute, 1)),
         server_(executor, listen, HttpLimits{},
                 [this](HttpExchange& exchange) { return serve(exchange); }) {
@@ -78,14 +82,15 @@
 
 }  // namespace
 
-std::unique_ptr<StandIn> make_machines(const asio::any_io_executor& executor,
-                                       const std::string& listen, Duration lag) {
-  return std::make_unique<MachinesStandIn>(executor, listen, lag);
+std::unique_ptr<EmulatedService> make_machine_list(const asio::any_io_executor& executor,
+                                                   const std::string& listen, Duration lag) {
+  return std::make_unique<EmulatedMachineList>(executor, listen, lag);
 }
 
-std::unique_ptr<StandIn> make_weights(const asio::any_io_executor& executor,
-                                      const std::string& listen, std::uint32_t per_minute) {
-  return std::make_unique<WeightsStandIn>(executor, listen, per_minute);
+std::unique_ptr<EmulatedService> make_weight_store(const asio::any_io_executor& executor,
+                                                   const std::string& listen,
+                                                   std::uint32_t per_minute) {
+  return std::make_unique<EmulatedWeightStore>(executor, listen, per_minute);
 }
 
 }  // namespace stoathold::emulator
--- a/emulator/stand_in.h
+++ b/emulator/stand_in.h
@@ -1,6 +1,6 @@
 /// @file
-/// The stand-ins of the outside systems. Each runs in a process of its own; tests and the bench may
-/// also run one on an io_context of theirs.
+/// Emulated external services. Each runs in its own process; tests and benchmarks may also run one
+/// on their own io_context.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,68 +13,74 @@
 
 namespace stoathold::emulator {
 
-/// A running stand-in; serves until destroyed. Its executor must be single-threaded.
-class StandIn {
+/// A running emulated service; serves until it is destroyed. Its executor must be single-threaded.
+class EmulatedService {
  public:
-  virtual ~StandIn() = default;
-  /// The address bound.
+  virtual ~EmulatedService() = default;
+  /// Returns the address that the service is bound to.
   [[nodiscard]] virtual std::string address() const = 0;
 };
 
-/// The model engine. Admin: `POST /admin/faults` with any of `refuse`, `frozen`, `leaving`
-/// (true/false), `slow_factor`, `break_after_tokens` (numbers, 0: off); `GET /admin/executions`
-/// answers how often each request body was run.
-std::unique_ptr<StandIn> make_engine(const boost::asio::any_io_executor& executor,
-                                     const std::string& listen, EngineParameters parameters,
-                                     Duration report_lag);
+/// Creates an engine. Its load reports are `report_lag` old. Admin requests: `POST /admin/faults`
+/// with any of `refuse`, `frozen`, `leaving` (true/false), `slow_factor`, `break_after_tokens`
+/// (numbers, 0: off); `GET /admin/executions` returns how often each request body was run.
+std::unique_ptr<EmulatedService> make_engine(const boost::asio::any_io_executor& executor,
+                                             const std::string& listen, EngineParameters parameters,
+                                             Duration report_lag);
 
-/// The append-only log. Admin: `POST /admin/faults` with any of `outage` (true/false), `delay_ms`,
-/// `lose_answers` and `drop_appends` (how many of the next appends).
-std::unique_ptr<StandIn> make_log(const boost::asio::any_io_executor& executor,
-                                  const std::string& listen);
+/// Creates an append-only log. Admin requests: `POST /admin/faults` with any of `outage`
+/// (true/false), `delay_ms`, `lose_answers` (how many of the next appends are stored but get no
+/// response) and `drop_appends` (how many of the next appends are discarded).
+std::unique_ptr<EmulatedService> make_log(const boost::asio::any_io_executor& executor,
+                                          const std::string& listen);
 
-/// The machine list. Admin: `PUT /admin/machines` with the list; it is served `lag` later.
-std::unique_ptr<StandIn> make_machines(const boost::asio::any_io_executor& executor,
-                                       const std::string& listen, Duration lag);
+/// Creates a machine list. Admin request: `PUT /admin/machines` with a new list, which is served
+/// after `lag`.
+std::unique_ptr<EmulatedService> make_machine_list(const boost::asio::any_io_executor& executor,
+                                                   const std::string& listen, Duration lag);
 
-/// The weight store: grants `per_minute` fetches a minute.
-std::unique_ptr<StandIn> make_weights(const boost::asio::any_io_executor& executor,
-                                      const std::string& listen, std::uint32_t per_minute);
+/// Creates a weight store that allows `per_minute` fetches per minute.
+std::unique_ptr<EmulatedService> make_weight_store(const boost::asio::any_io_executor& executor,
+                                                   const std::string& listen,
+                                                   std::uint32_t per_minute);
 
-/// The users' metadata store: keyed topics, conditional appends, one group. Admin: `POST
-/// /admin/faults` with any of `outage` (`silent`, `busy`, `reset`, or empty), `lose_answers`,
-/// `late_appends`, `late_ms`, `delay_ms`, `drop_history`.
-std::unique_ptr<StandIn> make_metadata_store(const boost::asio::any_io_executor& executor,
-                                             const std::string& listen);
+/// Creates a metadata store of the users' platform: keyed topics, conditional appends and one
+/// group. Admin request: `POST /admin/faults` with any of `outage` (`silent`, `busy`, `reset`, or
+/// empty), `lose_answers`, `late_appends`, `late_ms`, `delay_ms`, `drop_history`.
+std::unique_ptr<EmulatedService> make_metadata_store(const boost::asio::any_io_executor& executor,
+                                                     const std::string& listen);
 
-/// How an inference runner behaves.
+/// Parameters of an emulated inference runner.
 struct InferenceRunnerParameters {
   std::string id = "runner-1";
   std::uint32_t slots = 4;
-  std::uint64_t events = 5;                     ///< Of each stream.
-  std::uint64_t event_bytes = 1U << 20U;        ///< Most bytes of the request's body in an event.
-  Duration gap = std::chrono::milliseconds(5);  ///< Before each event.
-  /// Time of its work as a percentage of `gap`: runners may differ from one another for good.
-  std::uint32_t time_percent = 100;
-  /// Whether it reports how slow it is at the moment.
+  std::uint64_t events = 5;               ///< Events per stream.
+  std::uint64_t event_bytes = 1U << 20U;  ///< Maximum bytes of the request body per event.
+  Duration event_interval = std::chrono::milliseconds(5);  ///< Pause before each event.
+  /// Processing time as a percentage of `event_interval`: a permanent speed difference between
+  /// runners.
+  std::uint32_t work_time_percent = 100;
+  /// Whether load headers include the current slowness.
   bool reports_slowness = false;
-  /// The process ends as soon as it has begun to answer a request with this body; empty: never.
+  /// The process exits as soon as it has started the response to a request with this body; empty:
+  /// never.
   std::string crash_body;
 };
 
-/// A runner as the users' platform shows it. Admin: `POST /admin/faults` with any of `not_run`,
-/// `silent` (true/false), `break_after`, `foreign_answers`, `error_status`, `spoiled_answers`
-/// (numbers, 0: off), `slowness_percent` (how slow its machine makes it now; 0 or 100: as usual)
-/// and `false_slowness` (a text that it reports in the place of that; empty: the truth); `GET
-/// /admin/runs` answers how often each request was run.
-std::unique_ptr<StandIn> make_inference_runner(const boost::asio::any_io_executor& executor,
-                                               const std::string& listen,
-                                               InferenceRunnerParameters parameters);
+/// Creates an inference runner of the users' platform. Admin requests: `POST /admin/faults` with
+/// any of `not_run`, `silent` (true/false), `break_after`, `foreign_answers`, `error_status`,
+/// `spoiled_answers` (numbers, 0: off), `slowness_percent` (current processing time as a percentage
+/// of the normal one; 0 or 100: normal) and `false_slowness` (text to report instead of it; empty:
+/// off); `GET /admin/runs` returns how often each request was run.
+std::unique_ptr<EmulatedService> make_inference_runner(const boost::asio::any_io_executor& executor,
+                                                       const std::string& listen,
+                                                       InferenceRunnerParameters parameters);
 
-/// A TCP link that can be cut. Admin on its own address: `POST /admin/faults` with `cut`
-/// (true/false) and `delay_ms`.
-std::unique_ptr<StandIn> make_link(const boost::asio::any_io_executor& executor,
-                                   const std::string& listen, const std::string& target,
-                                   const std::string& admin_listen);
+/// Creates a TCP proxy that emulates a network link. Admin request, at `admin_listen`: `POST
+/// /admin/faults` with `cut` (true/false: close all connections, and new ones at once) and
+/// `delay_ms`.
+std::unique_ptr<EmulatedService> make_link(const boost::asio::any_io_executor& executor,
+                                           const std::string& listen, const std::string& target,
+                                           const std::string& admin_listen);
 
 }  // namespace stoathold::emulator
