--- a/bench/arrivals.cc
+++ b/bench/arrivals.cc
@@ -24,7 +24,7 @@
 constexpr std::size_t kShortBytes = 240;
 constexpr std::size_t kReviewBytes = 8000;
 constexpr double kFirstTokenGoalMs = 490;
-constexpr double kBetweenTokensGoalMs = 46;
+constexpr double kInterTokenGoalMs = 46;
 
 /// One planned request.
 struct Arrival {
@@ -32,13 +32,13 @@
   bool review = false;
 };
 
-/// What became of the requests.
+/// Aggregated results of all requests.
 struct Outcomes {
-  std::vector<double> first_ms;
-  std::vector<double> between_ms;
-  std::uint32_t whole = 0;
+  std::vector<double> first_token_ms;
+  std::vector<double> inter_token_ms;
+  std::uint32_t completed = 0;
   std::uint32_t refused = 0;
-  std::uint32_t broken = 0;
+  std::uint32_t failed = 0;
   std::uint32_t within_goal = 0;
 };
 
@@ -79,7 +79,7 @@
   return json::serialize(body);
 }
 
-asio::awaitable<void> one_request(std::string target, std::string body, bool review, double link_ms,
+asio::awaitable<void> run_request(std::string target, std::string body, bool review, double link_ms,
                                   Outcomes& outcomes) {
   const auto executor = co_await asio::this_coro::executor;
   const TimePoint planned = monotonic_now();
@@ -92,14 +92,14 @@
   HttpStream stream(executor);
   const auto [progress, status] = co_await stream.open(call);
   if (status != 200) {
-    ++(status == 0 ? outcomes.broken : outcomes.refused);
+    ++(status == 0 ? outcomes.failed : outcomes.refused);
     co_return;
   }
   EventSplitter splitter(0);
   std::string_view bytes;
   TimePoint last = planned;
-  double first_ms = 0;
-  double worst_between = 0;
+  double first_token_ms = 0;
+  double max_inter_token_ms = 0;
   while (true) {
     const bool more = co_await stream.read(bytes, kTimeout);
     if (!more) break;
@@ -110,35 +110,36 @@
     const double gap_ms = static_cast<double>((now - last).count()) / 1e3;
     last = now;
     if (before == 0) {
-      first_ms = gap_ms + 2 * link_ms;
-      if (!review) outcomes.first_ms.push_back(first_ms);
+      first_token_ms = gap_ms + 2 * link_ms;
+      if (!review) outcomes.first_token_ms.push_back(first_token_ms);
       continue;
     }
-    if (!review) outcomes.between_ms.push_back(gap_ms);
-    worst_between = std::max(worst_between, gap_ms);
+    if (!review) outcomes.inter_token_ms.push_back(gap_ms);
+    max_inter_token_ms = std::max(max_inter_token_ms, gap_ms);
   }
   if (!splitter.finished()) {
-    ++outcomes.broken;
+    ++outcomes.failed;
     co_return;
   }
-  ++outcomes.whole;
-  const bool in_goal = first_ms <= kFirstTokenGoalMs && worst_between <= kBetweenTokensGoalMs;
-  if (!review && in_goal) ++outcomes.within_goal;
+  ++outcomes.completed;
+  const bool meets_goal =
+      first_token_ms <= kFirstTokenGoalMs && max_inter_token_ms <= kInterTokenGoalMs;
+  if (!review && meets_goal) ++outcomes.within_goal;
 }
 
 asio::awaitable<void> start_all(const ArrivalOptions& options, const std::vector<Arrival>& plan,
                                 Outcomes& outcomes) {
   const auto executor = co_await asio::this_coro::executor;
   asio::steady_timer timer(executor);
-  const auto began = std::chrono::steady_clock::now();
+  const auto start = std::chrono::steady_clock::now();
   std::uint64_t number = 0;
   for (const auto& arrival : plan) {
-    timer.expires_at(began + arrival.at);
+    timer.expires_at(start + arrival.at);
     co_await timer.async_wait(kNoThrow);
     std::string target = options.targets[number % options.targets.size()];
     std::string body = body_of(arrival, number, options.seed);
     asio::co_spawn(executor,
-                   one_request(std::move(target), std::move(body), arrival.review,
+                   run_request(std::move(target), std::move(body), arrival.review,
                                static_cast<double>(options.link_delay_ms), outcomes),
                    asio::detached);
     ++number;
@@ -147,9 +148,9 @@
 
 json::object quantiles(std::vector<double>& values) {
   std::sort(values.begin(), values.end());
-  const auto at = [&](double part) {
+  const auto at = [&](double fraction) {
     if (values.empty()) return 0.0;
-    return values[static_cast<std::size_t>(part * static_cast<double>(values.size() - 1))];
+    return values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))];
   };
   return {{"count", values.size()}, {"p50", at(0.5)}, {"p95", at(0.95)}, {"p99", at(0.99)}};
 }
@@ -163,12 +164,12 @@
   asio::co_spawn(context, start_all(options, plan, outcomes), asio::detached);
   context.run();
   const json::object result{{"planned", plan.size()},
-                            {"whole", outcomes.whole},
+                            {"whole", outcomes.completed},
                             {"refused", outcomes.refused},
-                            {"broken", outcomes.broken},
+                            {"broken", outcomes.failed},
                             {"short_within_goal", outcomes.within_goal},
-                            {"first_token_ms", quantiles(outcomes.first_ms)},
-                            {"between_tokens_ms", quantiles(outcomes.between_ms)}};
+                            {"first_token_ms", quantiles(outcomes.first_token_ms)},
+                            {"between_tokens_ms", quantiles(outcomes.inter_token_ms)}};
   std::cout << json::serialize(result) << std::endl;
   return 0;
 }
--- a/bench/bench_main.cc
+++ b/bench/bench_main.cc
@@ -1,5 +1,6 @@
 /// @file
-/// `stoathold-bench`: the processes of the measurements. The scripts beside it start and read them.
+/// `stoathold-bench`: load generators and servers of the benchmarks, which the benchmark scripts
+/// start and whose output they read.
 #include <CLI/CLI.hpp>
 
 #include "bench/arrivals.h"
@@ -10,7 +11,7 @@
 using stoathold::bench::ArrivalOptions;
 using stoathold::bench::StreamLoad;
 
-/// What the relay's processes are told.
+/// Options of the relay benchmark's servers.
 struct RelayOptions {
   std::string listen;
   std::string target;
--- a/bench/quarantine.cc
+++ b/bench/quarantine.cc
@@ -1,6 +1,6 @@
 /// @file
-/// `stoathold-quarantine-bench`: processor time that the quarantine adds to a request and to the
-/// end of a runner (Google Benchmark).
+/// `stoathold-quarantine-bench`: CPU time that the quarantine adds to each request and to each exit
+/// of a runner (Google Benchmark).
 #include <benchmark/benchmark.h>
 
 #include <string>
@@ -17,7 +17,7 @@
   return Quarantine([](std::uint64_t) { return std::nullopt; });
 }
 
-/// One arrival, as `OnlineRequest` checks it.
+/// Checks one arriving request as `OnlineRequest` does.
 bool check(Quarantine& quarantine, const std::string& body) {
   return QuarantineCheck(quarantine,
                          {.tenant = "t", .host = "a.example", .target = "/x/1", .body = body})
@@ -39,7 +39,8 @@
   for (auto _ : state) benchmark::DoNotOptimize(check(quarantine, body));
 }
 
-/// A runner ends with requests, in a table that is full of others; 17 is a runner's slots.
+/// Records the exit of a runner that was running requests, while the suspect table is full. The
+/// larger argument, 17, is the number of slots of a runner.
 void end_of_a_runner(benchmark::State& state) {
   Quarantine quarantine = make_quarantine();
   std::uint64_t runner = 0;
--- a/bench/relay.cc
+++ b/bench/relay.cc
@@ -69,15 +69,15 @@
   co_await exchange.finish_stream();
 }
 
-/// Latencies of all streams, in microseconds.
+/// Results of all streams; latencies are in microseconds.
 struct Samples {
   std::vector<double> first_token;
   std::uint64_t tokens = 0;
   std::uint32_t failed = 0;
 };
 
-asio::awaitable<void> read_stream(const StreamLoad& load, std::uint32_t requests,
-                                  Samples& samples) {
+asio::awaitable<void> run_requests(const StreamLoad& load, std::uint32_t requests,
+                                   Samples& samples) {
   const auto executor = co_await asio::this_coro::executor;
   for (std::uint32_t i = 0; i < requests; ++i) {
     HttpCall call;
@@ -86,7 +86,7 @@
     call.target = "/v1/chat/completions";
     call.timeout = kTimeout;
     call.body = R"({"model":"assistant","stream":true,"messages":[{"role":"user","content":"q"}]})";
-    const TimePoint began = monotonic_now();
+    const TimePoint start = monotonic_now();
     HttpStream stream(executor);
     const auto [progress, status] = co_await stream.open(call);
     EventSplitter splitter(0);
@@ -98,7 +98,7 @@
       splitter.feed(bytes);
       if (first && splitter.last_token() > 0) {
         first = false;
-        samples.first_token.push_back(static_cast<double>((monotonic_now() - began).count()));
+        samples.first_token.push_back(static_cast<double>((monotonic_now() - start).count()));
       }
     }
     samples.tokens += splitter.last_token();
@@ -110,9 +110,9 @@
   }
 }
 
-double quantile(std::vector<double>& sorted, double part) {
+double quantile(std::vector<double>& sorted, double fraction) {
   if (sorted.empty()) return 0;
-  const auto index = static_cast<std::size_t>(part * static_cast<double>(sorted.size() - 1));
+  const auto index = static_cast<std::size_t>(fraction * static_cast<double>(sorted.size() - 1));
   return sorted[index];
 }
 
@@ -145,13 +145,13 @@
 int run_stream_load(const StreamLoad& load) {
   asio::io_context context(1);
   Samples samples;
-  const TimePoint began = monotonic_now();
+  const TimePoint start = monotonic_now();
   for (std::uint32_t i = 0; i < load.streams; ++i) {
     const std::uint32_t share = load.requests / load.streams;
-    asio::co_spawn(asio::make_strand(context), read_stream(load, share, samples), asio::detached);
+    asio::co_spawn(asio::make_strand(context), run_requests(load, share, samples), asio::detached);
   }
   context.run();
-  const double seconds = to_seconds(monotonic_now() - began);
+  const double seconds = to_seconds(monotonic_now() - start);
   std::sort(samples.first_token.begin(), samples.first_token.end());
   const json::object result{{"tokens", samples.tokens},
                             {"seconds", seconds},
--- a/bench/server_memory.cc
+++ b/bench/server_memory.cc
@@ -1,4 +1,5 @@
-// Processor time of a request at a server with and without a budget of memory, in turns in one run.
+// Compares the CPU time per request of a server with and without a memory budget, alternating
+// between the two in one run.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -18,7 +19,7 @@
 constexpr int kRequestsPerRound = 1500;
 constexpr std::size_t kBodyBytes = 1500;
 
-double processor_seconds() {
+double cpu_seconds() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   constexpr double kMicro = 1e-6;
@@ -26,8 +27,8 @@
          kMicro * static_cast<double>(usage.ru_utime.tv_usec + usage.ru_stime.tv_usec);
 }
 
-/// Answers with five events, as a short chat request.
-asio::awaitable<void> answer(HttpExchange& exchange) {
+/// Responds with five events, like a short chat completion.
+asio::awaitable<void> respond(HttpExchange& exchange) {
   constexpr int kEvents = 5;
   const std::string event(200, 'e');
   bool open = co_await exchange.start_stream("text/event-stream");
@@ -37,30 +38,30 @@
   co_await exchange.finish_stream();
 }
 
-/// A server and one caller that asks again and again on one connection, on a loop of their own.
-class Pair {
+/// A server and one client that sends requests in sequence over one connection, on one event loop.
+class LoopbackPair {
  public:
-  explicit Pair(std::uint64_t budget)
-      : server_(loop_.get_executor(), "127.0.0.1:0", HttpLimits{}, answer, LoopThreads::kOne),
+  explicit LoopbackPair(std::uint64_t budget)
+      : server_(loop_.get_executor(), "127.0.0.1:0", HttpLimits{}, respond, LoopThreads::kOne),
         client_(loop_.get_executor(), LoopThreads::kOne) {
     budget_.set_limit(budget);
     server_.set_bounds({&budget_, 0, {}});
     server_.start();
   }
 
-  /// Returns processor seconds of one request.
+  /// Runs `kRequestsPerRound` requests and returns the CPU seconds per request.
   double run_round() {
-    const double start = processor_seconds();
+    const double start = cpu_seconds();
     bool done = false;
-    asio::co_spawn(loop_, ask(), [&](const std::exception_ptr&) { done = true; });
+    asio::co_spawn(loop_, run_requests(), [&](const std::exception_ptr&) { done = true; });
     loop_.restart();
     while (!done && loop_.run_one() > 0) {
     }
-    return (processor_seconds() - start) / kRequestsPerRound;
+    return (cpu_seconds() - start) / kRequestsPerRound;
   }
 
  private:
-  asio::awaitable<void> ask() {
+  asio::awaitable<void> run_requests() {
     HttpCall call;
     call.address = server_.address();
     call.method = "POST";
@@ -80,17 +81,17 @@
 
 int run() {
   constexpr std::uint64_t kBudget = 100UL * 1024 * 1024;
-  Pair without(0);
-  Pair with(kBudget);
+  LoopbackPair without(0);
+  LoopbackPair with(kBudget);
   std::vector<double> ratios;
   std::vector<double> times;
   for (int round = 0; round < kRounds; ++round) {
-    // The one that goes first changes with each round.
-    const bool first = round % 2 == 0;
-    const double one = first ? without.run_round() : with.run_round();
-    const double other = first ? with.run_round() : without.run_round();
-    ratios.push_back(first ? other / one : one / other);
-    times.push_back(first ? one : other);
+    // The order alternates, so that neither variant always runs first.
+    const bool starts_without_budget = round % 2 == 0;
+    const double first_time = starts_without_budget ? without.run_round() : with.run_round();
+    const double second_time = starts_without_budget ? with.run_round() : without.run_round();
+    ratios.push_back(starts_without_budget ? second_time / first_time : first_time / second_time);
+    times.push_back(starts_without_budget ? first_time : second_time);
   }
   const auto middle = static_cast<std::ptrdiff_t>(kRounds / 2);
   std::nth_element(ratios.begin(), ratios.begin() + middle, ratios.end());
