--- a/apps/node_main.cc
+++ b/apps/node_main.cc
@@ -21,7 +21,7 @@
 
 int main(int argc, char** argv) {
   stoathold::hold_signals();
-  CLI::App app{"A stoathold node: serves callers and operators as a member of a cluster."};
+  CLI::App app{"A stoathold node: serves callers and operators as a member of a fleet."};
   std::string file;
   bool check_only = false;
   std::map<std::string, std::string> flags;
--- a/apps/stoatctl_main.cc
+++ b/apps/stoatctl_main.cc
@@ -261,7 +261,7 @@
       "explain-logs", "Timeline of a request, item or job from the log files of nodes");
   explain_logs->add_option("id", arguments.name, "Id of the request, item or job")->required();
   explain_logs->add_option("files", arguments.files, "Log files; standard input if none are given");
-  app.add_subcommand("nodes", "List the cluster members as this node sees them");
+  app.add_subcommand("nodes", "List the members as this node sees them");
   app.add_subcommand("version", "Print the version");
 }
 
--- a/bench/decide.cc
+++ b/bench/decide.cc
@@ -1,5 +1,5 @@
 /// @file
-/// `stoathold-decide`: CPU time of one routing decision at full cluster size (Google Benchmark).
+/// `stoathold-decide`: CPU time of one routing decision at full fleet size (Google Benchmark).
 #include <benchmark/benchmark.h>
 
 #include "core/runner_table.h"
--- a/bench/relay.h
+++ b/bench/relay.h
@@ -15,7 +15,7 @@
 /// 0, as fast as the connection accepts them.
 int run_token_source(const std::string& listen, std::uint32_t tokens, std::uint32_t interval_us);
 
-/// Options of the load on one relay.
+/// Options of the load generator.
 struct StreamLoad {
   std::string target;
   std::uint32_t streams = 32;     ///< Concurrent streams.
--- a/src/ctl/manifest.cc
+++ b/src/ctl/manifest.cc
@@ -15,7 +15,8 @@
 
 json::value scalar_to_json(const YAML::Node& node) {
   const std::string& text = node.Scalar();
-  if (node.Tag() == "!") return json::string(text);  // quoted
+  // yaml-cpp tags quoted scalars with "!"; they stay strings.
+  if (node.Tag() == "!") return json::string(text);
   if (text == "true" || text == "false") return text == "true";
   if (text == "null" || text == "~" || text.empty()) return nullptr;
   std::int64_t number = 0;
--- a/src/server/settings.h
+++ b/src/server/settings.h
@@ -22,7 +22,7 @@
   std::string weight_store;                    ///< `ip:port` of the weight store; may be empty.
   std::uint32_t worker_threads = 2;
   std::uint32_t drain_seconds = 30;  ///< Time limit of a graceful shutdown.
-  std::uint32_t job_shards = 32;     ///< Must be the same on every node of a cluster.
+  std::uint32_t job_shards = 32;     ///< Must be the same on every node of a fleet.
   std::string log_format = "text";   ///< `text` or `json`.
   std::string log_level = "info";    ///< `debug`, `info`, `warning` or `error`.
 };
