--- a/src/net/answer_backlog.cc
+++ b/src/net/answer_backlog.cc
@@ -9,30 +9,32 @@
 namespace asio = boost::asio;
 using Tcp = asio::ip::tcp;
 
-AnswerBacklog::AnswerBacklog(Tcp::socket& socket, const ServerBounds& bounds, ByteHolders& holders,
-                             std::function<void()> on_cut_off)
+ResponseWriteBuffer::ResponseWriteBuffer(Tcp::socket& socket, const ServerBounds& resource_limits,
+                                         ReclaimableBufferRegistry& buffer_registry,
+                                         std::function<void()> on_reclaimed)
     : socket_(&socket),
-      bounds_(bounds),
-      holders_(holders),
-      on_cut_off_(std::move(on_cut_off)),
-      since_(monotonic_now()),
-      last_progress_(since_) {
-  if (!bounds.limited()) return;
-  reservation_ = bounds.budget->charge(MemoryAccount::kAnswers, 0);
-  holders_.add(*this);
+      resource_limits_(resource_limits),
+      buffer_registry_(buffer_registry),
+      on_reclaimed_(std::move(on_reclaimed)),
+      pending_since_(monotonic_now()),
+      last_progress_(pending_since_) {
+  if (!resource_limits.limited()) return;
+  reservation_ = resource_limits.budget->charge(MemoryAccount::kAnswers, 0);
+  buffer_registry_.add(*this);
 }
 
-AnswerBacklog::~AnswerBacklog() {
+ResponseWriteBuffer::~ResponseWriteBuffer() {
   fail();
 }
 
-void AnswerBacklog::append(std::string_view bytes) {
+void ResponseWriteBuffer::append(std::string_view bytes) {
   if (failed_) return;
   if (pending() == 0) {
-    since_ = monotonic_now();
-    last_progress_ = since_;
+    pending_since_ = monotonic_now();
+    last_progress_ = pending_since_;
   }
-  // Moved to the front only when most of it is written: each byte is moved once at most.
+  // Written bytes are erased only once they are more than half of the buffer, so that each byte is
+  // moved at most once.
   if (position_ > bytes_.size() / 2) {
     bytes_.erase(0, position_);
     position_ = 0;
@@ -41,11 +43,11 @@
   reservation_.resize(bytes_.capacity());
 }
 
-void AnswerBacklog::start() {
+void ResponseWriteBuffer::start() {
   if (!waiting_ && !failed_ && pending() > 0) wait_until_writable();
 }
 
-void AnswerBacklog::wait_until_writable() {
+void ResponseWriteBuffer::wait_until_writable() {
   waiting_ = true;
   socket_->async_wait(Tcp::socket::wait_write,
                       [self = shared_from_this()](boost::system::error_code error) {
@@ -59,7 +61,7 @@
                       });
 }
 
-void AnswerBacklog::write_some() {
+void ResponseWriteBuffer::write_some() {
   boost::system::error_code error;
   const asio::const_buffer rest(bytes_.data() + position_, pending());
   const std::size_t written = write_at_once(*socket_, rest, error);
@@ -67,11 +69,11 @@
     fail();
     return;
   }
-  took(written);
+  on_written(written);
   start();
 }
 
-void AnswerBacklog::took(std::size_t count) {
+void ResponseWriteBuffer::on_written(std::size_t count) {
   if (count > 0) last_progress_ = monotonic_now();
   position_ += count;
   if (pending() == 0) {
@@ -79,48 +81,49 @@
     position_ = 0;
     reservation_.resize(0);
   }
-  if (drained_ && pending() <= most_left_) drained_->cancel();
+  if (drained_ && pending() <= drain_target_) drained_->cancel();
 }
 
-asio::awaitable<void> AnswerBacklog::wait(std::size_t most, Duration longest) {
+asio::awaitable<void> ResponseWriteBuffer::wait(std::size_t max_pending, Duration timeout) {
   const auto self = shared_from_this();
-  if (failed_ || pending() <= most) co_return;
-  most_left_ = most;
+  if (failed_ || pending() <= max_pending) co_return;
+  drain_target_ = max_pending;
   const auto executor = co_await asio::this_coro::executor;
-  drained_.emplace(executor, longest);
+  drained_.emplace(executor, timeout);
   co_await drained_->async_wait(asio::as_tuple(asio::use_awaitable));
   drained_.reset();
 }
 
-void AnswerBacklog::fail() {
+void ResponseWriteBuffer::fail() {
   if (failed_) return;
   failed_ = true;
-  holders_.remove(*this);
+  buffer_registry_.remove(*this);
   std::string().swap(bytes_);
   position_ = 0;
   reservation_.release();
   if (drained_) drained_->cancel();
 }
 
-void AnswerBacklog::detach() {
+void ResponseWriteBuffer::detach() {
   fail();
-  on_cut_off_ = nullptr;
+  on_reclaimed_ = nullptr;
   socket_ = nullptr;
 }
 
-void AnswerBacklog::cut_off() {
+void ResponseWriteBuffer::reclaim() {
   if (failed_) return;
   const TimePoint now = monotonic_now();
-  bounds_.tell({.act = ShortageAct::kAnswerCutOff,
-                .bytes = held_bytes(),
-                .age = now - since_,
-                .stalled = now - last_progress_});
-  // A reset: the kernel gives its own bytes back too, and the answer cannot look whole.
+  resource_limits_.report({.act = ShortageAct::kAnswerCutOff,
+                           .bytes = reserved_bytes(),
+                           .age = now - pending_since_,
+                           .stalled = now - last_progress_});
+  // Resets the connection: the kernel frees its send buffer as well, and the client cannot take the
+  // truncated response for a complete one.
   boost::system::error_code ignored;
   socket_->set_option(asio::socket_base::linger(true, 0), ignored);
   socket_->close(ignored);
   fail();
-  if (on_cut_off_) on_cut_off_();
+  if (on_reclaimed_) on_reclaimed_();
 }
 
 }  // namespace stoathold
--- a/src/net/answer_backlog.h
+++ b/src/net/answer_backlog.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a caller has not taken yet of its answer. Include in implementation files only.
+/// Buffer of response bytes that the client has not read yet. Include in implementation files only.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -16,52 +16,55 @@
 
 namespace stoathold {
 
-/// Bytes on their way to a caller, written as its socket takes them, in order. Shared with the wait
-/// for the socket, which may outlive the answer. Used on the connection's strand.
-class AnswerBacklog final : public ByteHolder, public std::enable_shared_from_this<AnswerBacklog> {
+/// Response bytes that wait for the client's socket to become writable; they are written in order.
+/// Shared with the pending socket wait, which may outlive the response. Used on the connection's
+/// strand.
+class ResponseWriteBuffer final : public ReclaimableBuffer,
+                                  public std::enable_shared_from_this<ResponseWriteBuffer> {
  public:
-  /// @param socket not blocking; outlives the time until `detach`.
-  /// @param bounds, holders outlive the backlog.
-  /// @param on_cut_off called when the caller was cut off to make room.
-  AnswerBacklog(boost::asio::ip::tcp::socket& socket, const ServerBounds& bounds,
-                ByteHolders& holders, std::function<void()> on_cut_off);
-  ~AnswerBacklog() override;
-  AnswerBacklog(const AnswerBacklog&) = delete;
-  AnswerBacklog& operator=(const AnswerBacklog&) = delete;
+  /// @param socket must be non-blocking; must stay valid until `detach`.
+  /// @param resource_limits, buffer_registry outlive the buffer.
+  /// @param on_reclaimed called after the connection was reset to free memory.
+  ResponseWriteBuffer(boost::asio::ip::tcp::socket& socket, const ServerBounds& resource_limits,
+                      ReclaimableBufferRegistry& buffer_registry,
+                      std::function<void()> on_reclaimed);
+  ~ResponseWriteBuffer() override;
+  ResponseWriteBuffer(const ResponseWriteBuffer&) = delete;
+  ResponseWriteBuffer& operator=(const ResponseWriteBuffer&) = delete;
 
-  /// Adds bytes behind those that wait.
+  /// Appends bytes to the buffer.
   void append(std::string_view bytes);
-  /// Begins to write what waits.
+  /// Starts to write the buffered bytes.
   void start();
-  /// Waits until at most `most` bytes are left, the caller is gone, or this time is over.
-  boost::asio::awaitable<void> wait(std::size_t most, Duration longest);
+  /// Waits until at most `max_pending` bytes are left, writing fails, or `timeout` has passed.
+  boost::asio::awaitable<void> wait(std::size_t max_pending, Duration timeout);
   [[nodiscard]] std::size_t pending() const { return bytes_.size() - position_; }
   [[nodiscard]] bool failed() const { return failed_; }
-  /// Nothing is written any more; the bytes are given back.
+  /// Stops writing, and releases the buffered bytes.
   void fail();
-  /// The socket is about to go, or to be used by others.
+  /// Must be called before the socket is destroyed or used by others; fails the buffer.
   void detach();
 
-  [[nodiscard]] std::uint64_t held_bytes() const override { return reservation_.bytes(); }
+  [[nodiscard]] std::uint64_t reserved_bytes() const override { return reservation_.bytes(); }
   [[nodiscard]] TimePoint last_progress() const override { return last_progress_; }
-  void cut_off() override;
+  void reclaim() override;
 
  private:
   void wait_until_writable();
   void write_some();
-  void took(std::size_t count);
+  void on_written(std::size_t count);
 
   boost::asio::ip::tcp::socket* socket_;
-  const ServerBounds& bounds_;
-  ByteHolders& holders_;
-  std::function<void()> on_cut_off_;
+  const ServerBounds& resource_limits_;
+  ReclaimableBufferRegistry& buffer_registry_;
+  std::function<void()> on_reclaimed_;
   MemoryReservation reservation_;
   std::string bytes_;
-  std::size_t position_ = 0;  ///< Of the first byte that is not written.
-  TimePoint since_;           ///< When the bytes began to wait.
+  std::size_t position_ = 0;  ///< Index of the first unwritten byte.
+  TimePoint pending_since_;   ///< When the buffer last became non-empty.
   TimePoint last_progress_;
-  std::optional<Timer> drained_;  ///< Cancelled when `most_left_` is reached, or on a failure.
-  std::size_t most_left_ = 0;     ///< Of the current wait.
+  std::optional<Timer> drained_;  ///< Cancelled when `drain_target_` is reached or writing fails.
+  std::size_t drain_target_ = 0;  ///< Number of pending bytes at which the current wait ends.
   bool waiting_ = false;
   bool failed_ = false;
 };
--- a/src/net/beast_helpers.h
+++ b/src/net/beast_helpers.h
@@ -1,5 +1,5 @@
 /// @file
-/// Small helpers over Boost.Beast and Asio sockets. Include in implementation files only.
+/// Helper functions for Boost.Beast and Asio sockets. Include in implementation files only.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -15,7 +15,7 @@
 
 namespace stoathold {
 
-/// Copies all header fields in their order.
+/// Returns all header fields in their order.
 inline std::vector<HttpHeader> copy_headers(const boost::beast::http::fields& fields) {
   std::vector<HttpHeader> headers;
   for (const auto& field : fields) {
@@ -24,15 +24,17 @@
   return headers;
 }
 
-/// Returns the executor of one connection: a strand of its own, unless one thread runs everything.
+/// Returns the executor for one connection: a strand of its own, or `executor` itself if a single
+/// thread runs the event loop.
 inline boost::asio::any_io_executor connection_executor(
     const boost::asio::any_io_executor& executor, LoopThreads threads) {
   if (threads == LoopThreads::kOne) return executor;
   return boost::asio::make_strand(executor);
 }
 
-/// Writes what a non-blocking socket takes at once.
-/// @return the bytes written; an error other than a full socket is told in `error`.
+/// Writes as much as a non-blocking socket accepts without waiting.
+/// @param error set to the error of the write; a full send buffer is not an error.
+/// @return the number of bytes written.
 template <typename Buffers>
 std::size_t write_at_once(boost::asio::ip::tcp::socket& socket, const Buffers& buffers,
                           boost::system::error_code& error) {
@@ -42,8 +44,9 @@
   return 0;
 }
 
-/// Looks at a socket without waiting: `would_block` if it is open and holds no unread bytes, no
-/// error if there are some, else why it is closed.
+/// Returns the state of a socket without waiting: `would_block` if it is open without unread bytes,
+/// no error if there are unread bytes, otherwise the error that closed it. Makes the socket
+/// non-blocking.
 inline boost::system::error_code peek_socket(boost::asio::ip::tcp::socket& socket) {
   boost::system::error_code error;
   socket.non_blocking(true, error);
@@ -52,7 +55,8 @@
   return error;
 }
 
-/// Whether the other side closed or reset the connection, rather than sent what is no answer.
+/// Returns whether an error means that the peer closed or reset the connection, as opposed to
+/// sending a malformed response.
 inline bool is_closed_by_peer(const boost::system::error_code& error) {
   namespace asio = boost::asio;
   namespace http = boost::beast::http;
--- a/src/net/byte_holders.cc
+++ b/src/net/byte_holders.cc
@@ -2,24 +2,24 @@
 
 namespace stoathold {
 
-ByteHolder* ByteHolders::slowest(TimePoint now) const {
-  ByteHolder* chosen = nullptr;
-  double most = 0;
-  for (ByteHolder* holder : holders_) {
-    const Duration stalled = now - holder->last_progress();
-    if (stalled < kStallTime) continue;
-    const double cost = to_seconds(stalled) * static_cast<double>(holder->held_bytes());
-    if (cost <= most) continue;
-    chosen = holder;
-    most = cost;
+ReclaimableBuffer* ReclaimableBufferRegistry::slowest(TimePoint now) const {
+  ReclaimableBuffer* chosen = nullptr;
+  double max_cost = 0;
+  for (ReclaimableBuffer* buffer : buffers_) {
+    const Duration stalled = now - buffer->last_progress();
+    if (stalled < kStallThreshold) continue;
+    const double cost = to_seconds(stalled) * static_cast<double>(buffer->reserved_bytes());
+    if (cost <= max_cost) continue;
+    chosen = buffer;
+    max_cost = cost;
   }
   return chosen;
 }
 
-bool ByteHolders::cut_off_slowest(TimePoint now) {
-  ByteHolder* holder = slowest(now);
-  if (holder == nullptr) return false;
-  holder->cut_off();
+bool ReclaimableBufferRegistry::reclaim_slowest(TimePoint now) {
+  ReclaimableBuffer* buffer = slowest(now);
+  if (buffer == nullptr) return false;
+  buffer->reclaim();
   return true;
 }
 
--- a/src/net/byte_holders.h
+++ b/src/net/byte_holders.h
@@ -1,6 +1,6 @@
 /// @file
-/// Who holds bytes of a process until a caller goes on, and who of them is ended when room is
-/// short. Pure: no sockets, the clock is passed in.
+/// Registry of buffers whose memory can be reclaimed from stalled clients. No input or output; the
+/// current time is a parameter.
 #pragma once
 
 #include <cstdint>
@@ -10,38 +10,39 @@
 
 namespace stoathold {
 
-/// Something that holds bytes until its caller sends or takes more.
-class ByteHolder {
+/// A buffer that keeps its memory until its client sends or reads more.
+class ReclaimableBuffer {
  public:
-  virtual ~ByteHolder() = default;
-  [[nodiscard]] virtual std::uint64_t held_bytes() const = 0;
-  /// When the caller last went on, or when the bytes began to be held.
+  virtual ~ReclaimableBuffer() = default;
+  [[nodiscard]] virtual std::uint64_t reserved_bytes() const = 0;
+  /// Time at which the client last made progress, or at which the buffer began to hold bytes.
   [[nodiscard]] virtual TimePoint last_progress() const = 0;
-  /// Gives the bytes back and leaves the table.
-  virtual void cut_off() = 0;
+  /// Ends the transfer, releases the memory and unregisters the buffer.
+  virtual void reclaim() = 0;
 };
 
-/// A caller without progress for so long may be cut off while others need the room. A lost packet
-/// is repeated after 200 ms, and once more after 400; a caller that waits for the next event gives
-/// up after two seconds. With 2 s here, relays that had no room to read on kept so many places at
-/// runners that one in four of the other requests was refused, of 2,000 callers at a byte a second.
-inline constexpr Duration kStallTime = std::chrono::seconds(1);
+/// A buffer may be reclaimed once its client has made no progress for this long. A lost packet is
+/// retransmitted after 200 ms and, if lost again, another 400 ms later; a client that waits for the
+/// next event times out after two seconds. With 2 s here and 2,000 clients that read one byte per
+/// second, responses that had no memory to be read ahead occupied so many runner slots that a
+/// quarter of the other requests were refused.
+inline constexpr Duration kStallThreshold = std::chrono::seconds(1);
 
-/// The holders of one server. Does not own them. Used on one thread.
-class ByteHolders {
+/// The reclaimable buffers of one server; does not own them. Not thread safe.
+class ReclaimableBufferRegistry {
  public:
-  void add(ByteHolder& holder) { holders_.insert(&holder); }
-  void remove(ByteHolder& holder) { holders_.erase(&holder); }
-  [[nodiscard]] std::size_t size() const { return holders_.size(); }
+  void add(ReclaimableBuffer& buffer) { buffers_.insert(&buffer); }
+  void remove(ReclaimableBuffer& buffer) { buffers_.erase(&buffer); }
+  [[nodiscard]] std::size_t size() const { return buffers_.size(); }
 
-  /// Returns the holder with the greatest product of bytes and time without progress, of those
-  /// without progress for `kStallTime`; null if there is none.
-  [[nodiscard]] ByteHolder* slowest(TimePoint now) const;
-  /// Ends that one. @return false if there is none.
-  bool cut_off_slowest(TimePoint now);
+  /// Returns, of the buffers without progress for `kStallThreshold`, the one with the greatest
+  /// product of reserved bytes and time without progress; null if there is none.
+  [[nodiscard]] ReclaimableBuffer* slowest(TimePoint now) const;
+  /// Reclaims the buffer that `slowest` returns. @return false if there is none.
+  bool reclaim_slowest(TimePoint now);
 
  private:
-  std::set<ByteHolder*> holders_;
+  std::set<ReclaimableBuffer*> buffers_;
 };
 
 }  // namespace stoathold
--- a/src/net/caller_connections.cc
+++ b/src/net/caller_connections.cc
@@ -2,37 +2,37 @@
 
 namespace stoathold {
 
-void CallerConnections::closed(CallerAddress caller) {
-  const auto found = callers_.find(caller);
-  if (found != callers_.end() && --found->second.open == 0) callers_.erase(found);
+void ClientConnections::remove_connection(ClientAddress client) {
+  const auto found = clients_.find(client);
+  if (found != clients_.end() && --found->second.open == 0) clients_.erase(found);
 }
 
-std::uint64_t CallerConnections::enter_idle(CallerAddress caller, TimePoint now) {
-  callers_[caller].idle.emplace(++last_turn_, now);
-  return last_turn_;
+std::uint64_t ClientConnections::mark_idle(ClientAddress client, TimePoint now) {
+  clients_[client].idle.emplace(++last_sequence_, now);
+  return last_sequence_;
 }
 
-void CallerConnections::leave_idle(CallerAddress caller, std::uint64_t turn) {
-  const auto found = callers_.find(caller);
-  if (found != callers_.end()) found->second.idle.erase(turn);
+void ClientConnections::mark_busy(ClientAddress client, std::uint64_t sequence) {
+  const auto found = clients_.find(client);
+  if (found != clients_.end()) found->second.idle.erase(sequence);
 }
 
-std::optional<CallerConnections::Choice> CallerConnections::choose_for(CallerAddress newcomer,
-                                                                       TimePoint now) const {
-  const auto own = callers_.find(newcomer);
-  const std::size_t held_by_newcomer = own == callers_.end() ? 0 : own->second.open;
-  std::optional<Choice> choice;
-  std::size_t most = 0;
-  for (const auto& [address, caller] : callers_) {
-    const bool holds_more = caller.open > held_by_newcomer || address == newcomer;
-    if (!holds_more || caller.idle.empty() || caller.open < most) continue;
-    const auto& [turn, since] = *caller.idle.begin();
-    if (now - since < kLeastIdleTime) continue;
-    if (caller.open == most && choice && choice->turn < turn) continue;
-    choice = Choice{address, turn, since};
-    most = caller.open;
+std::optional<ClientConnections::EvictionCandidate> ClientConnections::select_eviction_candidate(
+    ClientAddress new_client, TimePoint now) const {
+  const auto own = clients_.find(new_client);
+  const std::size_t new_client_connections = own == clients_.end() ? 0 : own->second.open;
+  std::optional<EvictionCandidate> candidate;
+  std::size_t max_open = 0;
+  for (const auto& [address, client] : clients_) {
+    const bool eligible = client.open > new_client_connections || address == new_client;
+    if (!eligible || client.idle.empty() || client.open < max_open) continue;
+    const auto& [sequence, idle_since] = *client.idle.begin();
+    if (now - idle_since < kMinIdleTime) continue;
+    if (client.open == max_open && candidate && candidate->sequence < sequence) continue;
+    candidate = EvictionCandidate{address, sequence, idle_since};
+    max_open = client.open;
   }
-  return choice;
+  return candidate;
 }
 
 }  // namespace stoathold
--- a/src/net/caller_connections.h
+++ b/src/net/caller_connections.h
@@ -1,6 +1,6 @@
 /// @file
-/// Who holds how many connections, and whose goes for a new one when no more are to be had. Pure:
-/// no sockets, the clock is passed in.
+/// Tracks connections by client address and selects an idle one to close when a new client connects
+/// at the connection or memory limit. No input or output; the current time is a parameter.
 #pragma once
 
 #include <cstdint>
@@ -11,40 +11,44 @@
 
 namespace stoathold {
 
-/// Stands for the address of a caller. Callers behind one address count as one: that decides whose
-/// idle connection goes first, and bounds nobody who is alone.
-using CallerAddress = std::uint64_t;
+/// Key of a client's network address. Clients behind one address count as one. The key only decides
+/// whose idle connection is closed first; it does not limit the connections of a client while there
+/// is capacity.
+using ClientAddress = std::uint64_t;
 
-/// No connection is closed for another sooner: the first request of a new one may be under way.
-inline constexpr Duration kLeastIdleTime = std::chrono::seconds(1);
+/// Minimum idle time before a connection may be closed for another one: the first request on a new
+/// connection may still be under way.
+inline constexpr Duration kMinIdleTime = std::chrono::seconds(1);
 
-/// Connections of a server by the addresses of their callers. Not thread safe.
-class CallerConnections {
+/// Connections of a server by client address. Not thread safe.
+class ClientConnections {
  public:
-  void opened(CallerAddress caller) { ++callers_[caller].open; }
-  /// Its connection must not be idle any more.
-  void closed(CallerAddress caller);
-  /// A connection waits for a request, or for the rest of its head. @return its turn, which rises.
-  std::uint64_t enter_idle(CallerAddress caller, TimePoint now);
-  void leave_idle(CallerAddress caller, std::uint64_t turn);
-
-  /// A connection that goes for another.
-  struct Choice {
-    CallerAddress caller = 0;
-    std::uint64_t turn = 0;
-    TimePoint since{};
+  void add_connection(ClientAddress client) { ++clients_[client].open; }
+  /// Removes a connection of the client, which must not be marked idle.
+  void remove_connection(ClientAddress client);
+  /// Marks a connection as waiting for a request or for the rest of a request head.
+  /// @return its idle sequence number; these numbers increase.
+  std::uint64_t mark_idle(ClientAddress client, TimePoint now);
+  void mark_busy(ClientAddress client, std::uint64_t sequence);
+
+  /// An idle connection to close in favour of a new one.
+  struct EvictionCandidate {
+    ClientAddress client = 0;
+    std::uint64_t sequence = 0;
+    TimePoint idle_since{};
   };
-  /// Chooses the oldest idle connection of the caller that holds most, of those that hold more than
-  /// the newcomer, who may also replace its own. @return nothing if there is none.
-  [[nodiscard]] std::optional<Choice> choose_for(CallerAddress newcomer, TimePoint now) const;
+  /// Returns the longest idle connection of the client with the most connections, among the clients
+  /// with more connections than `new_client` and `new_client` itself; nothing if there is none.
+  [[nodiscard]] std::optional<EvictionCandidate> select_eviction_candidate(ClientAddress new_client,
+                                                                           TimePoint now) const;
 
  private:
-  struct Caller {
+  struct Client {
     std::size_t open = 0;
-    std::map<std::uint64_t, TimePoint> idle;  ///< By turn: the oldest first.
+    std::map<std::uint64_t, TimePoint> idle;  ///< By sequence number, longest idle first.
   };
-  std::map<CallerAddress, Caller> callers_;
-  std::uint64_t last_turn_ = 0;
+  std::map<ClientAddress, Client> clients_;
+  std::uint64_t last_sequence_ = 0;
 };
 
 }  // namespace stoathold
--- a/src/net/engine_client.cc
+++ b/src/net/engine_client.cc
@@ -19,7 +19,7 @@
 
 constexpr Duration kControlTimeout = std::chrono::seconds(2);
 
-std::uint32_t count_of(const json::object& object, std::string_view field) {
+std::uint32_t uint32_field(const json::object& object, std::string_view field) {
   const auto* value = object.if_contains(field);
   if (value == nullptr) return 0;
   boost::system::error_code error;
@@ -27,9 +27,9 @@
   return error ? 0 : number;
 }
 
-/// One running stream, so that `cancel` can reach it.
-struct RunningStream {
-  explicit RunningStream(const asio::any_io_executor& executor_in)
+/// An open stream; `cancel` closes it through this object.
+struct ActiveStream {
+  explicit ActiveStream(const asio::any_io_executor& executor_in)
       : executor(executor_in), http(executor_in) {}
   asio::any_io_executor executor;
   HttpStream http;
@@ -42,32 +42,32 @@
       : executor_(executor), client_(std::make_shared<HttpClient>(executor)) {}
 
   asio::awaitable<StreamEnd> run(EngineStreamCall call, EngineEventSink& sink) override {
-    auto running = std::make_shared<RunningStream>(co_await asio::this_coro::executor);
+    auto active = std::make_shared<ActiveStream>(co_await asio::this_coro::executor);
     {
       const std::scoped_lock lock(mutex_);
-      running_[call.stream] = running;
+      active_streams_[call.stream] = active;
     }
     StreamEnd end;
     end.stream = call.stream;
     end.tokens = call.resume_tokens;
-    end.outcome = co_await transfer(*running, call, sink, end.tokens);
-    if (running->cancelled) end.outcome = StreamOutcome::kCancelled;
+    end.outcome = co_await transfer(*active, call, sink, end.tokens);
+    if (active->cancelled) end.outcome = StreamOutcome::kCancelled;
     const std::scoped_lock lock(mutex_);
-    running_.erase(call.stream);
+    active_streams_.erase(call.stream);
     co_return end;
   }
 
   void cancel(StreamId stream) override {
-    std::shared_ptr<RunningStream> running;
+    std::shared_ptr<ActiveStream> active;
     {
       const std::scoped_lock lock(mutex_);
-      const auto found = running_.find(stream);
-      if (found == running_.end()) return;
-      running = found->second;
+      const auto found = active_streams_.find(stream);
+      if (found == active_streams_.end()) return;
+      active = found->second;
     }
-    asio::post(running->executor, [running] {
-      running->cancelled = true;
-      running->http.close();
+    asio::post(active->executor, [active] {
+      active->cancelled = true;
+      active->http.close();
     });
   }
 
@@ -109,26 +109,25 @@
     return http;
   }
 
-  static asio::awaitable<StreamOutcome> transfer(RunningStream& running,
-                                                 const EngineStreamCall& call,
+  static asio::awaitable<StreamOutcome> transfer(ActiveStream& active, const EngineStreamCall& call,
                                                  EngineEventSink& sink, std::uint32_t& tokens) {
-    const auto [progress, status] = co_await running.http.open(http_call(call));
+    const auto [progress, status] = co_await active.http.open(http_call(call));
     if (progress == HttpProgress::kNotSent) co_return StreamOutcome::kNotSent;
     if (progress != HttpProgress::kAnswered) co_return StreamOutcome::kBroken;
     if (status != 200) co_return StreamOutcome::kRefused;
     EventSplitter splitter(call.resume_tokens);
     std::string_view bytes;
-    Duration patience = call.first_token_timeout;
+    Duration read_timeout = call.first_token_timeout;
     while (true) {
-      const bool more = co_await running.http.read(bytes, patience);
+      const bool more = co_await active.http.read(bytes, read_timeout);
       if (!more) break;
       const SplitStatus split = splitter.feed(bytes);
       if (split != SplitStatus::kOk) co_return StreamOutcome::kBroken;
       tokens = splitter.last_token();
       if (!splitter.events().empty()) {
-        const bool wanted = co_await sink.on_events(splitter.events(), tokens);
-        if (!wanted) co_return StreamOutcome::kCancelled;
-        patience = call.token_timeout;
+        const bool keep_reading = co_await sink.on_events(splitter.events(), tokens);
+        if (!keep_reading) co_return StreamOutcome::kCancelled;
+        read_timeout = call.token_timeout;
       }
       if (splitter.finished()) co_return StreamOutcome::kCompleted;
     }
@@ -144,11 +143,11 @@
     const bool ok = reply.ok() && !error && value.is_object();
     if (ok) {
       const auto& object = value.get_object();
-      load.load.online_streams = count_of(object, "online_streams");
-      load.load.batch_streams = count_of(object, "batch_streams");
-      load.load.queued = count_of(object, "online_queued");
-      load.load.leaving = count_of(object, "leaving") != 0 ? 1 : 0;
-      load.cache_sequence = count_of(object, "cache_sequence");
+      load.load.online_streams = uint32_field(object, "online_streams");
+      load.load.batch_streams = uint32_field(object, "batch_streams");
+      load.load.queued = uint32_field(object, "online_queued");
+      load.load.leaving = uint32_field(object, "leaving") != 0 ? 1 : 0;
+      load.cache_sequence = uint32_field(object, "cache_sequence");
     }
     done(ok, load);
   }
@@ -162,7 +161,7 @@
   asio::any_io_executor executor_;
   std::shared_ptr<HttpClient> client_;
   std::mutex mutex_;
-  std::unordered_map<StreamId, std::shared_ptr<RunningStream>> running_;
+  std::unordered_map<StreamId, std::shared_ptr<ActiveStream>> active_streams_;
 };
 
 }  // namespace
--- a/src/net/event_splitter.cc
+++ b/src/net/event_splitter.cc
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-SplitStatus EventSplitter::take_event(std::string_view event) {
+SplitStatus EventSplitter::process_event(std::string_view event) {
   if (event == kEndEvent) {
     finished_ = true;
     return SplitStatus::kOk;
@@ -45,7 +45,7 @@
     const std::size_t end = input.find(kEventEnd, position);
     if (end == std::string_view::npos) break;
     const std::size_t next = end + kEventEnd.size();
-    const SplitStatus status = take_event(input.substr(position, next - position));
+    const SplitStatus status = process_event(input.substr(position, next - position));
     if (status != SplitStatus::kOk) return status;
     position = next;
   }
--- a/src/net/event_splitter.h
+++ b/src/net/event_splitter.h
@@ -1,5 +1,5 @@
 /// @file
-/// Splits a byte stream of server-sent events and follows their token numbers.
+/// Splits a byte stream into server-sent events and checks their token numbers.
 #pragma once
 
 #include <cstdint>
@@ -8,31 +8,30 @@
 
 namespace stoathold {
 
-/// Verdict on the bytes fed so far.
+/// Result of feeding bytes to an `EventSplitter`.
 enum class SplitStatus : std::uint8_t {
   kOk,
-  kGap,        ///< A token number was skipped: the stream must not be delivered further.
-  kMalformed,  ///< An event without a number, or too long.
+  kGap,        ///< A token number was skipped; nothing more of the stream may be delivered.
+  kMalformed,  ///< An event without a token number, or one that is too long.
 };
 
-/// Finds whole events in the bytes of a stream and drops those whose tokens were delivered before.
-/// Costs one scan and one copy of the bytes.
-/// Not thread safe.
+/// Extracts complete events from a byte stream and drops those whose tokens were already delivered.
+/// Costs one scan and one copy of the bytes. Not thread safe.
 class EventSplitter {
  public:
-  /// @param delivered tokens that the caller already has.
+  /// @param delivered number of tokens that the client already has.
   explicit EventSplitter(std::uint32_t delivered) : last_token_(delivered) {}
 
-  /// Feeds bytes; `events()` then holds the whole new events, valid until the next call.
+  /// Consumes bytes; `events()` then returns the new complete events, valid until the next call.
   SplitStatus feed(std::string_view bytes);
   [[nodiscard]] std::string_view events() const { return events_; }
-  /// Number of the last token delivered.
+  /// Number of the last delivered token.
   [[nodiscard]] std::uint32_t last_token() const { return last_token_; }
-  /// Whether the end marker was seen.
+  /// Whether the end-of-stream event was received.
   [[nodiscard]] bool finished() const { return finished_; }
 
  private:
-  SplitStatus take_event(std::string_view event);
+  SplitStatus process_event(std::string_view event);
 
   std::string partial_;
   std::string output_;
@@ -41,7 +40,7 @@
   bool finished_ = false;
 };
 
-/// The event that ends a stream.
+/// The event that marks the end of a stream.
 inline constexpr std::string_view kEndEvent = "data: [DONE]\n\n";
 
 }  // namespace stoathold
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP/1.1 server and client over Boost.Asio coroutines; Boost.Beast stays in the .cc files.
+/// HTTP/1.1 server and client on Boost.Asio coroutines. Boost.Beast is used in the .cc files only.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -18,115 +18,120 @@
 
 namespace stoathold {
 
-/// One header field.
 struct HttpHeader {
   std::string name;
   std::string value;
 };
 
-/// Whether two header names are the same; case does not matter.
+/// Returns whether two header names are equal, ignoring case.
 bool same_header_name(std::string_view left, std::string_view right);
-/// Returns a header's value, or an empty view.
+/// Returns the value of a header, or an empty view if it is missing.
 std::string_view find_header(const std::vector<HttpHeader>& headers, std::string_view name);
 
-/// Bounds that a server puts on what callers send.
+/// Limits on the size and duration of requests and responses.
 struct HttpLimits {
   std::uint32_t header_bytes = 16 * 1024;
   std::uint64_t body_bytes = 64ULL * 1024 * 1024;
-  Duration header_timeout = std::chrono::seconds(10);  ///< Whole header, from its first byte.
-  Duration body_timeout = std::chrono::seconds(30);    ///< Whole body.
-  Duration idle_timeout = std::chrono::seconds(75);    ///< Between two requests.
-  Duration write_timeout = std::chrono::seconds(30);   ///< One write to a slow reader.
+  Duration header_timeout =
+      std::chrono::seconds(10);  ///< For the complete header, from its first byte.
+  Duration body_timeout = std::chrono::seconds(30);   ///< For the complete body.
+  Duration idle_timeout = std::chrono::seconds(75);   ///< Between two requests.
+  Duration write_timeout = std::chrono::seconds(30);  ///< For one write to a slow client.
 };
 
-/// How the end of a response body is told.
+/// How the end of a response body is marked.
 enum class BodyFraming : std::uint8_t {
-  kChunked,     ///< Chunks; the last one is empty.
+  kChunked,     ///< Chunked transfer encoding, ended by an empty chunk.
   kLength,      ///< `Content-Length`.
-  kUntilClose,  ///< The end of the connection; it is reset if the body is broken off.
+  kUntilClose,  ///< Closing the connection; an aborted body resets it instead.
 };
 
-/// The head of a response whose body is written piece by piece.
+/// The head of a response whose body is written in parts.
 struct ResponseHead {
   int status = 200;
-  std::vector<HttpHeader> headers;  ///< Without those that frame the body.
+  std::vector<HttpHeader> headers;  ///< Without `Content-Length` and `Transfer-Encoding`.
   BodyFraming framing = BodyFraming::kChunked;
-  std::uint64_t length = 0;  ///< Of the body in bytes, with `kLength`.
+  std::uint64_t length = 0;  ///< Body size in bytes, used with `kLength`.
 };
 
-/// One request on a connection, and the means to answer it.
+/// A request on a connection, with the operations to respond to it.
 ///
-/// Lives as long as its handler's coroutine; used on the connection's strand only. A handler either
-/// calls `respond` once, or `start_stream` or `start_response`, any number of `write`, and
-/// `finish_stream`.
+/// Lives as long as its handler's coroutine; used on the connection's strand only. A handler calls
+/// either `respond` once, or `start_stream` or `start_response`, then `write` any number of times,
+/// then `finish_stream`.
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
 
   [[nodiscard]] virtual std::string_view method() const = 0;
   [[nodiscard]] virtual std::string_view target() const = 0;
-  /// Returns a header's value, or an empty view.
+  /// Returns the value of a header, or an empty view if it is missing.
   [[nodiscard]] virtual std::string_view header(std::string_view name) const = 0;
   /// Returns all header fields in their order.
   [[nodiscard]] virtual std::vector<HttpHeader> headers() const = 0;
   [[nodiscard]] virtual const std::string& body() const = 0;
   [[nodiscard]] virtual boost::asio::any_io_executor executor() const = 0;
 
-  /// Sends a whole response; a failed write closes the connection.
+  /// Sends a complete response; a failed write closes the connection.
   virtual boost::asio::awaitable<void> respond(int status, std::string_view content_type,
                                                std::string body,
                                                std::vector<HttpHeader> headers = {}) = 0;
-  /// Sends the head of a chunked response. Returns false if the caller is gone.
+  /// Sends the head of a chunked response. Returns false if the client has disconnected.
   virtual boost::asio::awaitable<bool> start_stream(std::string_view content_type) = 0;
-  /// Sends the head of a response. Returns false if the caller is gone.
+  /// Sends the head of a response. Returns false if the client has disconnected.
   virtual boost::asio::awaitable<bool> start_response(const ResponseHead& head) = 0;
-  /// Sends one piece of the body. Returns false if the caller is gone.
+  /// Sends a part of the body and waits until it is written to the socket. Returns false if the
+  /// client has disconnected.
   virtual boost::asio::awaitable<bool> write(std::string_view bytes) = 0;
-  /// The same, but returns while the caller has yet to take a bounded part of what was written; on
-  /// a server without a limit of memory it waits as `write` does.
+  /// Like `write`, but returns while a bounded number of bytes is still buffered for the client; on
+  /// a server without a memory limit it waits as `write` does.
   virtual boost::asio::awaitable<bool> write_ahead(std::string_view bytes) = 0;
-  /// Waits until the caller's socket has taken all. Returns false if the caller is gone.
+  /// Waits until all buffered bytes are written to the socket. Returns false if the client has
+  /// disconnected.
   virtual boost::asio::awaitable<bool> flush() = 0;
-  /// Ends a response that was started, behind all that was written. Returns false if the caller is
-  /// gone.
+  /// Ends a response that was started, after all its buffered bytes. Returns false if the client
+  /// has disconnected.
   virtual boost::asio::awaitable<bool> finish_stream() = 0;
-  /// Closes the connection without a proper end, so that the caller sees a broken answer.
+  /// Closes the connection without ending the body, so that the client sees an incomplete response.
   virtual void abort() = 0;
-  /// Calls `on_disconnect` at most once, on the connection's strand, if the caller closes the
-  /// connection before the handler has ended. Further pipelined requests stop the watch.
+  /// Calls `on_disconnect` at most once, on the connection's strand, if the client closes the
+  /// connection before the handler has returned. Stops watching if the client pipelines another
+  /// request.
   virtual void watch_disconnect(std::function<void()> on_disconnect) = 0;
 };
 
-/// Handles one request; runs on the connection's strand.
+/// Handles one request on the connection's strand.
 using HttpHandler = std::function<boost::asio::awaitable<void>(HttpExchange&)>;
 
-/// How many threads run the event loop behind an executor. With one, connections need no strands,
-/// each of which would cost a turn of the loop for every step of a connection.
+/// Number of threads that run the event loop behind an executor. With a single thread, connections
+/// need no strands, each of which would cost an extra event loop iteration per step of a
+/// connection.
 enum class LoopThreads : std::uint8_t { kMany, kOne };
 
-/// Accepts connections until `stop`. Thread safe.
+/// Accepts connections and passes their requests to a handler, until `stop`. Thread safe.
 class HttpServer {
  public:
-  /// Binds at once; throws `std::system_error` naming the address if that fails.
-  /// @param address `ip:port`; port 0 takes a free one.
+  /// Binds immediately; throws `std::system_error` with the address in its message if that fails.
+  /// @param address `ip:port`; port 0 selects a free one.
   HttpServer(boost::asio::any_io_executor executor, const std::string& address, HttpLimits limits,
              HttpHandler handler, LoopThreads threads = LoopThreads::kMany);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// To be called before `start`, on a server that runs on one thread.
-  void set_bounds(ServerBounds bounds);
+  /// Sets the memory and connection limits. Call before `start`. A server with a memory limit must
+  /// run on a single thread.
+  void set_bounds(ServerBounds resource_limits);
   void start();
-  /// Bounds for requests that are read from now on.
+  /// Sets the limits of requests whose reading has not begun.
   void set_limits(const HttpLimits& limits);
-  /// From now on every response closes its connection; new connections are still served.
+  /// Makes every further response close its connection. New connections are still served.
   void start_drain();
-  /// Closes the connections on which no request is being read or answered.
+  /// Closes the connections on which no request is being read or handled.
   void close_idle();
-  /// Closes the listening socket; open connections finish their request.
+  /// Closes the listening socket; open connections complete their current request.
   void stop();
-  /// The address bound, with the port that was taken.
+  /// Returns the bound address with the actual port.
   [[nodiscard]] std::string address() const;
 
  private:
@@ -145,14 +150,14 @@
   Duration timeout = std::chrono::seconds(10);
 };
 
-/// How far a call came.
+/// How far a request got.
 enum class HttpProgress : std::uint8_t {
-  kNotSent,  ///< No connection was made; nothing left this process.
-  kSent,     ///< Sent at least in part, but not answered whole.
+  kNotSent,  ///< No connection was established; no byte was sent.
+  kSent,     ///< Sent at least partially, but without a complete response.
   kAnswered,
 };
 
-/// The answer to a call.
+/// The result of a request.
 struct HttpReply {
   HttpProgress progress = HttpProgress::kNotSent;
   int status = 0;
@@ -162,11 +167,11 @@
   [[nodiscard]] bool ok() const {
     return progress == HttpProgress::kAnswered && status >= 200 && status < 300;
   }
-  /// Returns a header's value, or an empty view.
+  /// Returns the value of a header, or an empty view if it is missing.
   [[nodiscard]] std::string_view header(std::string_view name) const;
 };
 
-/// Sends one request on a pooled connection. Thread safe.
+/// Sends requests on pooled connections. Thread safe.
 class HttpClient {
  public:
   explicit HttpClient(boost::asio::any_io_executor executor,
@@ -184,7 +189,7 @@
 
 /// A response that is read as it arrives, on a connection of its own.
 ///
-/// Used on one strand. `close` may be called while a read is suspended, and makes it end.
+/// Used on one strand. `close` may be called while a read is suspended; the read then ends.
 class HttpStream {
  public:
   explicit HttpStream(const boost::asio::any_io_executor& executor);
@@ -192,15 +197,15 @@
   HttpStream(const HttpStream&) = delete;
   HttpStream& operator=(const HttpStream&) = delete;
 
-  /// Sends the request and reads the response's head.
-  /// @return the progress, and the status if the head arrived. For a status other than 200 the body
-  ///         has been read into `error_body`.
+  /// Sends the request and reads the head of the response.
+  /// @return the progress, and the status if the head was received. For a status other than 200 the
+  /// body has been read into `error_body`.
   boost::asio::awaitable<std::pair<HttpProgress, int>> open(const HttpCall& call);
   /// Reads more of the body.
   /// @param view set to the bytes read; valid until the next call.
-  /// @return false at the end or on a failure; `complete` tells which.
+  /// @return false at the end of the body or on a failure; `complete` distinguishes them.
   boost::asio::awaitable<bool> read(std::string_view& view, Duration timeout);
-  /// Whether the body ended properly.
+  /// Returns whether the whole body was received.
   [[nodiscard]] bool complete() const;
   [[nodiscard]] const std::string& error_body() const;
   void close();
@@ -210,9 +215,9 @@
   std::unique_ptr<State> state_;
 };
 
-/// Splits `ip:port`; returns false if it is malformed.
+/// Splits `ip:port` into host and port. Returns false if it is malformed.
 bool split_address(const std::string& address, std::string& host, std::uint16_t& port);
-/// Parses `ip:port`; returns false if it is malformed.
+/// Parses `ip:port` into an endpoint. Returns false if it is malformed.
 bool parse_endpoint(const std::string& address, boost::asio::ip::tcp::endpoint& endpoint);
 
 }  // namespace stoathold
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -44,7 +44,7 @@
   Pool(asio::any_io_executor executor_in, LoopThreads threads_in)
       : executor(std::move(executor_in)), threads(threads_in) {}
 
-  std::unique_ptr<beast::tcp_stream> take(const std::string& address) {
+  std::unique_ptr<beast::tcp_stream> acquire(const std::string& address) {
     const std::scoped_lock lock(mutex);
     auto& list = idle[address];
     if (list.empty()) return nullptr;
@@ -52,13 +52,13 @@
     list.pop_back();
     return stream;
   }
-  void give(const std::string& address, std::unique_ptr<beast::tcp_stream> stream) {
+  void return_to_pool(const std::string& address, std::unique_ptr<beast::tcp_stream> stream) {
     const std::scoped_lock lock(mutex);
     auto& list = idle[address];
     if (list.size() < kPooledPerAddress) list.push_back(std::move(stream));
   }
 
-  void forget(const std::string& address) {
+  void discard_idle(const std::string& address) {
     const std::scoped_lock lock(mutex);
     idle.erase(address);
   }
@@ -75,20 +75,21 @@
 
 namespace {
 
-/// Whether bytes of an answer that was given up still came in the last half of its time.
-bool was_heard(TimePoint sent, TimePoint heard, Duration timeout) {
-  return heard > sent && monotonic_now() - heard < timeout / 2;
+/// Returns whether bytes of a response arrived within the last half of the request's timeout.
+bool received_recently(TimePoint sent, TimePoint last_received, Duration timeout) {
+  return last_received > sent && monotonic_now() - last_received < timeout / 2;
 }
 
-/// Whether a pooled connection is still open at the other end.
-bool still_open(beast::tcp_stream& stream) {
+/// Returns whether the peer has kept a pooled connection open.
+bool is_open(beast::tcp_stream& stream) {
   return peek_socket(stream.socket()) == asio::error::would_block;
 }
 
-/// @param heard when bytes of the answer came last; left alone if none came.
-/// @return whether the connection may be used again.
+/// Sends a request and reads its response.
+/// @param last_received set to the time of the last received bytes; unchanged if there were none.
+/// @return whether the connection can be reused.
 asio::awaitable<bool> exchange(beast::tcp_stream& stream, const HttpCall& call, HttpReply& reply,
-                               TimePoint& heard) {
+                               TimePoint& last_received) {
   const auto request = make_request(call);
   reply.progress = HttpProgress::kSent;
   const auto [write_error, written] = co_await http::async_write(stream, request, kNoThrow);
@@ -99,7 +100,7 @@
   while (!parser.is_done()) {
     const auto [error, read] = co_await http::async_read_some(stream, buffer, parser, kNoThrow);
     if (error) co_return false;
-    heard = monotonic_now();
+    last_received = monotonic_now();
   }
   auto response = parser.release();
   reply.progress = HttpProgress::kAnswered;
@@ -116,30 +117,31 @@
   HttpReply reply;
   Tcp::endpoint endpoint;
   if (!parse_endpoint(call.address, endpoint)) co_return reply;
-  auto stream = pool->take(call.address);
-  if (stream && !still_open(*stream)) stream.reset();
-  const bool fresh = !stream;
-  if (fresh) {
+  auto stream = pool->acquire(call.address);
+  if (stream && !is_open(*stream)) stream.reset();
+  const bool is_new = !stream;
+  if (is_new) {
     stream =
         std::make_unique<beast::tcp_stream>(connection_executor(pool->executor, pool->threads));
   }
   stream->expires_after(call.timeout);
-  if (fresh) {
+  if (is_new) {
     const auto [error] = co_await stream->async_connect(endpoint, kNoThrow);
     if (error) co_return reply;
     boost::system::error_code ignored;
     stream->socket().set_option(Tcp::no_delay(true), ignored);
   }
   const TimePoint sent = monotonic_now();
-  TimePoint heard = sent;
-  const bool reusable = co_await exchange(*stream, call, reply, heard);
+  TimePoint last_received = sent;
+  const bool reusable = co_await exchange(*stream, call, reply, last_received);
   if (reusable) {
     stream->expires_never();
-    pool->give(call.address, std::move(stream));
-  } else if (reply.progress != HttpProgress::kAnswered && !was_heard(sent, heard, call.timeout)) {
-    // Other idle connections to a peer that fell silent are likely to be dead as well. One whose
-    // bytes came until the call was given up is not silent: its link is narrow.
-    pool->forget(call.address);
+    pool->return_to_pool(call.address, std::move(stream));
+  } else if (reply.progress != HttpProgress::kAnswered &&
+             !received_recently(sent, last_received, call.timeout)) {
+    // If the peer stopped sending, its other idle connections are probably dead as well. A peer
+    // that sent bytes until the timeout is alive behind a slow link, so its connections stay.
+    pool->discard_idle(call.address);
   }
   co_return reply;
 }
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -21,36 +21,39 @@
 
 constexpr auto kNoThrow = asio::as_tuple(asio::use_awaitable);
 
-/// A read buffer beyond this is given back between two requests.
-constexpr std::size_t kKeptBufferBytes = 32UL * 1024;
-/// Of a connection's send buffer, on servers with a limit of memory (the kernel doubles it): left
-/// to itself it grows to some MB for each caller who does not read. One of this size carries 60 MB
-/// a second over 2 ms.
+/// Read buffers larger than this are shrunk between two requests.
+constexpr std::size_t kMaxRetainedBufferBytes = 32UL * 1024;
+/// Send buffer of a connection on a server with a memory limit (the kernel doubles the value). With
+/// autotuning it grows to several MB for each client that does not read. This size sustains 60 MB/s
+/// at a round-trip time of 2 ms.
 constexpr int kSendBufferBytes = 64 * 1024;
-/// Connections beyond the bound that are answered at a time; further ones are closed unread.
-constexpr std::size_t kMostRefusals = 64;
-/// Time for the first byte of a request that is refused whatever it is.
-constexpr Duration kRefusalTime = std::chrono::seconds(1);
+/// Connections above the limit that are answered with 503 at the same time; further ones are closed
+/// unread.
+constexpr std::size_t kMaxConcurrentRejections = 64;
+/// Time to wait for the first byte of a request that will be rejected.
+constexpr Duration kRejectionReadTimeout = std::chrono::seconds(1);
 constexpr int kUnavailableStatus = 503;
-/// Of an IPv6 address: what one subscriber usually has.
-constexpr std::size_t kNetworkBytes = 8;
-constexpr std::string_view kNoConnection = "this node has no connection left for the request now";
+/// Bytes of an IPv6 address that identify a client: a /64 prefix, which is what one subscriber
+/// usually has.
+constexpr std::size_t kIpv6PrefixBytes = 8;
+constexpr std::string_view kConnectionLimitMessage =
+    "this node has no connection left for the request now";
 
-/// Whether a whole head of a request has come.
-bool holds_head(const beast::flat_buffer& buffer) {
+/// Returns whether the buffer contains a complete request head.
+bool has_complete_head(const beast::flat_buffer& buffer) {
   const auto bytes = buffer.data();
   const std::string_view text(static_cast<const char*>(bytes.data()), bytes.size());
   return text.find("\r\n\r\n") != std::string_view::npos;
 }
 
-CallerAddress address_of(const Tcp::socket& socket) {
+ClientAddress client_address_of(const Tcp::socket& socket) {
   boost::system::error_code error;
   const asio::ip::address address = socket.remote_endpoint(error).address();
   if (error) return 0;
   if (address.is_v4()) return address.to_v4().to_uint();
   const auto bytes = address.to_v6().to_bytes();
-  CallerAddress network = 0;
-  for (std::size_t i = 0; i < kNetworkBytes; ++i) network = network << 8U | bytes[i];
+  ClientAddress network = 0;
+  for (std::size_t i = 0; i < kIpv6PrefixBytes; ++i) network = network << 8U | bytes[i];
   return network;
 }
 
@@ -75,17 +78,17 @@
 }
 
 struct HttpServer::State : std::enable_shared_from_this<HttpServer::State> {
-  /// What becomes of a new connection.
+  /// Decision about a new connection.
   enum class Admission : std::uint8_t {
     kServed,
     kRefused,  ///< Answered with 503.
-    kClosed,   ///< Unread.
+    kClosed,   ///< Closed without reading.
   };
-  /// A connection that waits for a request, or for the rest of its head.
+  /// A connection that waits for a request or for the rest of a request head.
   struct IdleConnection {
     beast::tcp_stream* stream = nullptr;
-    CallerAddress caller = 0;
-    bool begun = false;  ///< A part of a head has come.
+    ClientAddress client = 0;
+    bool head_started = false;  ///< Whether a part of a head was received.
   };
 
   State(asio::any_io_executor executor_in, HttpLimits limits_in, HttpHandler handler_in,
@@ -103,122 +106,128 @@
       auto [error, socket] = co_await acceptor.async_accept(own_executor, kNoThrow);
       if (error == asio::error::operation_aborted || stopped) co_return;
       if (error) {
-        Timer pause(co_await asio::this_coro::executor, std::chrono::milliseconds(50));
-        co_await pause.async_wait(kNoThrow);
+        Timer retry_delay(co_await asio::this_coro::executor, std::chrono::milliseconds(50));
+        co_await retry_delay.async_wait(kNoThrow);
         continue;
       }
       boost::system::error_code ignored;
-      const CallerAddress caller = address_of(socket);
-      const Admission admission = admit_connection(caller);
+      const ClientAddress client = client_address_of(socket);
+      const Admission admission = admit_connection(client);
       if (admission == Admission::kClosed) {
         socket.close(ignored);
         continue;
       }
       socket.set_option(Tcp::no_delay(true), ignored);
-      if (bounds.limited()) {
+      if (resource_limits.limited()) {
         socket.set_option(asio::socket_base::send_buffer_size(kSendBufferBytes), ignored);
       }
       socket.non_blocking(true, ignored);
       if (admission == Admission::kServed) {
-        asio::co_spawn(own_executor, serve(std::move(socket), caller), asio::detached);
+        asio::co_spawn(own_executor, serve(std::move(socket), client), asio::detached);
       } else {
-        asio::co_spawn(own_executor, refuse(std::move(socket)), asio::detached);
+        asio::co_spawn(own_executor, reject(std::move(socket)), asio::detached);
       }
     }
   }
 
-  /// Counts a new connection in. At the bound, one that is idle goes for it, or else a caller that
-  /// does not go on.
-  Admission admit_connection(CallerAddress caller) {
+  /// Admits and counts a new connection. At the limit of connections or memory, closes an idle
+  /// connection for it, or else reclaims the buffer of a stalled client.
+  Admission admit_connection(ClientAddress client) {
     const std::scoped_lock lock(mutex);
-    const bool few = bounds.most_connections == 0 || open_connections < bounds.most_connections;
-    const bool fits =
-        !bounds.limited() || bounds.budget->has_room(MemoryAccount::kConnections, kConnectionBytes);
-    const bool admitted =
-        (few && fits) || close_idle_for(caller) || holders.cut_off_slowest(monotonic_now());
+    const bool below_connection_limit = resource_limits.most_connections == 0 ||
+                                        open_connections < resource_limits.most_connections;
+    const bool memory_available =
+        !resource_limits.limited() ||
+        resource_limits.budget->has_room(MemoryAccount::kConnections, kConnectionOverheadBytes);
+    const bool admitted = (below_connection_limit && memory_available) ||
+                          evict_idle_connection(client) ||
+                          buffer_registry.reclaim_slowest(monotonic_now());
     if (admitted) {
       ++open_connections;
-      connections.opened(caller);
+      connections.add_connection(client);
       return Admission::kServed;
     }
-    if (bounds.limited()) bounds.budget->count_refusal(MemoryAccount::kConnections);
-    const bool refused = open_refusals < kMostRefusals;
-    bounds.tell({.act = refused ? ShortageAct::kConnectionRefused : ShortageAct::kConnectionClosed,
-                 .status = refused ? kUnavailableStatus : 0,
-                 .bytes = kConnectionBytes});
-    if (refused) ++open_refusals;
-    return refused ? Admission::kRefused : Admission::kClosed;
+    if (resource_limits.limited())
+      resource_limits.budget->count_refusal(MemoryAccount::kConnections);
+    const bool rejected = open_rejections < kMaxConcurrentRejections;
+    resource_limits.report(
+        {.act = rejected ? ShortageAct::kConnectionRefused : ShortageAct::kConnectionClosed,
+         .status = rejected ? kUnavailableStatus : 0,
+         .bytes = kConnectionOverheadBytes});
+    if (rejected) ++open_rejections;
+    return rejected ? Admission::kRefused : Admission::kClosed;
   }
 
-  /// Tells a caller to come back, whatever it asks for.
-  asio::awaitable<void> refuse(Tcp::socket socket) {
+  /// Answers the first request of a connection with 503 and `Retry-After`, whatever it is.
+  asio::awaitable<void> reject(Tcp::socket socket) {
     auto self = shared_from_this();
     beast::tcp_stream stream(std::move(socket));
     beast::flat_buffer buffer;
     const HttpLimits limits = current_limits();
-    RequestReader reader(stream, buffer, limits, bounds, holders);
-    stream.expires_after(kRefusalTime);
+    RequestReader reader(stream, buffer, limits, resource_limits, buffer_registry);
+    stream.expires_after(kRejectionReadTimeout);
     const auto first_bytes = buffer.prepare(1);
     const auto [error, count] = co_await stream.async_read_some(first_bytes, kNoThrow);
-    const ReadOutcome outcome{false, kUnavailableStatus, kNoConnection};
-    if (!error) co_await reader.refuse(outcome);
+    const RequestReadResult result{false, kUnavailableStatus, kConnectionLimitMessage};
+    if (!error) co_await reader.reject(result);
     const std::scoped_lock lock(mutex);
-    --open_refusals;
+    --open_rejections;
   }
 
-  asio::awaitable<void> serve(Tcp::socket socket, CallerAddress caller) {
+  asio::awaitable<void> serve(Tcp::socket socket, ClientAddress client) {
     auto self = shared_from_this();
     MemoryReservation reservation;
-    if (bounds.limited()) {
-      reservation = bounds.budget->charge(MemoryAccount::kConnections, kConnectionBytes);
+    if (resource_limits.limited()) {
+      reservation =
+          resource_limits.budget->charge(MemoryAccount::kConnections, kConnectionOverheadBytes);
     }
     beast::tcp_stream stream(std::move(socket));
     const auto watch = std::make_shared<DisconnectWatch>(stream.socket());
-    co_await serve_requests(stream, *watch, caller);
+    co_await serve_requests(stream, *watch, client);
     watch->detach();
     boost::system::error_code ignored;
     stream.socket().shutdown(Tcp::socket::shutdown_send, ignored);
     const std::scoped_lock lock(mutex);
     --open_connections;
-    connections.closed(caller);
+    connections.remove_connection(client);
   }
 
   asio::awaitable<void> serve_requests(beast::tcp_stream& stream, DisconnectWatch& watch,
-                                       CallerAddress caller) {
+                                       ClientAddress client) {
     beast::flat_buffer buffer;
     while (!stopped) {
       const HttpLimits limits = current_limits();
       if (buffer.size() == 0) {
-        if (buffer.capacity() > kKeptBufferBytes) buffer.shrink_to_fit();
-        const bool begun = co_await await_request(stream, buffer, limits, caller);
-        if (!begun) break;
+        if (buffer.capacity() > kMaxRetainedBufferBytes) buffer.shrink_to_fit();
+        const bool request_started = co_await await_request(stream, buffer, limits, client);
+        if (!request_started) break;
       }
-      RequestReader reader(stream, buffer, limits, bounds, holders);
-      const bool trickles = !holds_head(buffer);
-      const std::uint64_t turn = trickles ? enter_idle(stream, caller, true) : 0;
-      ReadOutcome outcome = co_await reader.read_head();
-      if (trickles) leave_idle(turn, caller);
-      if (outcome.whole) outcome = co_await reader.read_body();
-      if (!outcome.whole) {
-        if (outcome.status != 0) co_await reader.refuse(outcome);
+      RequestReader reader(stream, buffer, limits, resource_limits, buffer_registry);
+      const bool head_incomplete = !has_complete_head(buffer);
+      const std::uint64_t sequence = head_incomplete ? mark_idle(stream, client, true) : 0;
+      RequestReadResult result = co_await reader.read_head();
+      if (head_incomplete) mark_busy(sequence, client);
+      if (result.complete) result = co_await reader.read_body();
+      if (!result.complete) {
+        if (result.status != 0) co_await reader.reject(result);
         break;
       }
       stream.expires_never();
       const MemoryReservation body = reader.take_reservation();
-      ServerExchange exchange(stream, reader.release(), limits, surroundings, watch);
+      ServerExchange exchange(stream, reader.release(), limits, exchange_context, watch);
       co_await handler(exchange);
       if (!exchange.reusable()) break;
     }
   }
 
-  /// Waits for the first bytes of a request. @return false if none came.
+  /// Waits for the first bytes of a request. @return false if none arrived.
   asio::awaitable<bool> await_request(beast::tcp_stream& stream, beast::flat_buffer& buffer,
-                                      const HttpLimits& limits, CallerAddress caller) {
+                                      const HttpLimits& limits, ClientAddress client) {
     stream.expires_after(limits.idle_timeout);
     const auto mutable_bytes = buffer.prepare(limits.header_bytes);
-    const std::uint64_t turn = enter_idle(stream, caller, false);
+    const std::uint64_t sequence = mark_idle(stream, client, false);
     const auto [error, count] = co_await stream.async_read_some(mutable_bytes, kNoThrow);
-    leave_idle(turn, caller);
+    mark_busy(sequence, client);
     buffer.commit(count);
     co_return !error;
   }
@@ -227,41 +236,43 @@
     const std::scoped_lock lock(mutex);
     return limits;
   }
-  /// @return the connection's turn among the idle ones, which rises with time.
-  std::uint64_t enter_idle(beast::tcp_stream& stream, CallerAddress caller, bool begun) {
+  /// Marks a connection as idle. @return its idle sequence number; these numbers increase.
+  std::uint64_t mark_idle(beast::tcp_stream& stream, ClientAddress client, bool head_started) {
     const std::scoped_lock lock(mutex);
-    const std::uint64_t turn = connections.enter_idle(caller, monotonic_now());
-    idle.emplace(turn, IdleConnection{&stream, caller, begun});
-    return turn;
+    const std::uint64_t sequence = connections.mark_idle(client, monotonic_now());
+    idle.emplace(sequence, IdleConnection{&stream, client, head_started});
+    return sequence;
   }
-  void leave_idle(std::uint64_t turn, CallerAddress caller) {
+  void mark_busy(std::uint64_t sequence, ClientAddress client) {
     const std::scoped_lock lock(mutex);
-    connections.leave_idle(caller, turn);
-    idle.erase(turn);
+    connections.mark_busy(client, sequence);
+    idle.erase(sequence);
   }
-  /// A connection is closed on its own strand, and only if it is idle then. The lock is held.
-  void close_idle(std::uint64_t turn, const IdleConnection& connection) {
-    connections.leave_idle(connection.caller, turn);
-    asio::post(connection.stream->get_executor(), [self = shared_from_this(), turn] {
+  /// Closes a connection on its own strand if it is still idle then. Requires `mutex`.
+  void close_idle(std::uint64_t sequence, const IdleConnection& connection) {
+    connections.mark_busy(connection.client, sequence);
+    asio::post(connection.stream->get_executor(), [self = shared_from_this(), sequence] {
       const std::scoped_lock lock(self->mutex);
-      const auto found = self->idle.find(turn);
+      const auto found = self->idle.find(sequence);
       if (found != self->idle.end()) found->second.stream->close();
     });
   }
   void close_all_idle() {
     const std::scoped_lock lock(mutex);
-    for (const auto& [turn, connection] : idle) {
-      if (!connection.begun) close_idle(turn, connection);
+    for (const auto& [sequence, connection] : idle) {
+      if (!connection.head_started) close_idle(sequence, connection);
     }
   }
-  /// Closes a connection for that of a newcomer. The lock is held. @return false if none may go.
-  bool close_idle_for(CallerAddress newcomer) {
+  /// Closes an idle connection in favour of a new client. Requires `mutex`.
+  /// @return false if no connection may be closed.
+  bool evict_idle_connection(ClientAddress new_client) {
     const TimePoint now = monotonic_now();
-    const auto choice = connections.choose_for(newcomer, now);
-    if (!choice) return false;
-    close_idle(choice->turn, idle.at(choice->turn));
-    const Duration idle_time = now - choice->since;
-    bounds.tell({.act = ShortageAct::kIdleClosed, .age = idle_time, .stalled = idle_time});
+    const auto candidate = connections.select_eviction_candidate(new_client, now);
+    if (!candidate) return false;
+    close_idle(candidate->sequence, idle.at(candidate->sequence));
+    const Duration idle_time = now - candidate->idle_since;
+    resource_limits.report(
+        {.act = ShortageAct::kIdleClosed, .age = idle_time, .stalled = idle_time});
     return true;
   }
 
@@ -272,15 +283,15 @@
   HttpHandler handler;
   std::atomic<bool> stopped{false};
   std::atomic<bool> draining{false};
-  ServerBounds bounds;  ///< Set before the start.
-  ByteHolders holders;  ///< With bounds only.
-  ExchangeSurroundings surroundings{draining, bounds, holders};
-  /// Guards what follows, and `limits`; nothing else is locked while it is held.
+  ServerBounds resource_limits;               ///< Set before `start`.
+  ReclaimableBufferRegistry buffer_registry;  ///< Empty without a memory limit.
+  ExchangeContext exchange_context{draining, resource_limits, buffer_registry};
+  /// Guards `limits` and the members below. No other mutex is locked while it is held.
   std::mutex mutex;
-  std::map<std::uint64_t, IdleConnection> idle;  ///< By turn: the oldest first.
-  CallerConnections connections;
+  std::map<std::uint64_t, IdleConnection> idle;  ///< By sequence number, longest idle first.
+  ClientConnections connections;
   std::size_t open_connections = 0;
-  std::size_t open_refusals = 0;
+  std::size_t open_rejections = 0;
 };
 
 HttpServer::HttpServer(asio::any_io_executor executor, const std::string& address,
@@ -305,12 +316,12 @@
   stop();
 }
 
-void HttpServer::set_bounds(ServerBounds bounds) {
-  state_->bounds = std::move(bounds);
-  if (!state_->bounds.limited()) return;
-  state_->bounds.budget->set_reclaimer([weak = std::weak_ptr<State>(state_)] {
+void HttpServer::set_bounds(ServerBounds resource_limits) {
+  state_->resource_limits = std::move(resource_limits);
+  if (!state_->resource_limits.limited()) return;
+  state_->resource_limits.budget->set_reclaimer([weak = std::weak_ptr<State>(state_)] {
     const auto state = weak.lock();
-    return state && state->holders.cut_off_slowest(monotonic_now());
+    return state && state->buffer_registry.reclaim_slowest(monotonic_now());
   });
 }
 
--- a/src/net/http_target.h
+++ b/src/net/http_target.h
@@ -1,5 +1,5 @@
 /// @file
-/// The path and the query of a request target.
+/// Parses the path and the query of a request target.
 #pragma once
 
 #include <cstdint>
@@ -10,20 +10,20 @@
 
 namespace stoathold {
 
-/// A parsed target: decoded path segments and query parameters.
+/// A parsed request target: decoded path segments and query parameters.
 struct HttpTarget {
   std::vector<std::string> segments;
   std::vector<std::pair<std::string, std::string>> parameters;
 
-  /// Returns a parameter's value, or nothing.
+  /// Returns the value of a parameter, or nothing if it is missing.
   [[nodiscard]] std::optional<std::string> parameter(std::string_view name) const;
   /// Returns a parameter as a number, or `fallback` if it is missing or not a number.
   [[nodiscard]] std::uint64_t number(std::string_view name, std::uint64_t fallback) const;
 };
 
-/// Parses an origin-form target (Boost.URL); nothing if it is malformed.
+/// Parses a target in origin form (Boost.URL); returns nothing if it is malformed.
 std::optional<HttpTarget> parse_target(std::string_view target);
-/// Parses a whole unsigned number; nothing if the text is anything else.
+/// Parses a text that consists of one unsigned decimal number; returns nothing for any other text.
 std::optional<std::uint64_t> parse_number(std::string_view text);
 
 }  // namespace stoathold
--- a/src/net/log_client.cc
+++ b/src/net/log_client.cc
@@ -11,18 +11,18 @@
 
 namespace asio = boost::asio;
 
-constexpr std::size_t kWordBytes = 8;
+constexpr std::size_t kUint64Bytes = 8;
 constexpr unsigned kByteBits = 8;
 
-void put_word(std::string& body, std::uint64_t value) {
-  for (std::size_t i = 0; i < kWordBytes; ++i) {
+void append_uint64(std::string& body, std::uint64_t value) {
+  for (std::size_t i = 0; i < kUint64Bytes; ++i) {
     body.push_back(static_cast<char>((value >> (i * kByteBits)) & 0xffU));
   }
 }
 
-std::uint64_t get_word(const char* bytes) {
+std::uint64_t read_uint64(const char* bytes) {
   std::uint64_t value = 0;
-  for (std::size_t i = 0; i < kWordBytes; ++i) {
+  for (std::size_t i = 0; i < kUint64Bytes; ++i) {
     value |= static_cast<std::uint64_t>(static_cast<unsigned char>(bytes[i])) << (i * kByteBits);
   }
   return value;
@@ -112,8 +112,8 @@
 std::string frame_entries(const std::vector<LogEntry>& entries) {
   std::string body;
   for (const auto& entry : entries) {
-    put_word(body, value_of(entry.offset));
-    put_word(body, entry.bytes.size());
+    append_uint64(body, value_of(entry.offset));
+    append_uint64(body, entry.bytes.size());
     body += entry.bytes;
   }
   return body;
@@ -122,10 +122,10 @@
 bool parse_entries(const std::string& body, std::vector<LogEntry>& entries) {
   std::size_t position = 0;
   while (position < body.size()) {
-    if (body.size() - position < 2 * kWordBytes) return false;
-    const Offset offset{get_word(body.data() + position)};
-    const std::uint64_t size = get_word(body.data() + position + kWordBytes);
-    position += 2 * kWordBytes;
+    if (body.size() - position < 2 * kUint64Bytes) return false;
+    const Offset offset{read_uint64(body.data() + position)};
+    const std::uint64_t size = read_uint64(body.data() + position + kUint64Bytes);
+    position += 2 * kUint64Bytes;
     if (size > body.size() - position) return false;
     entries.push_back({offset, body.substr(position, size)});
     position += size;
--- a/src/net/log_client.h
+++ b/src/net/log_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's append-only log service, behind one interface.
+/// Client interface of the platform's append-only log service.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,8 +13,8 @@
 
 namespace stoathold {
 
-/// Calls to the log service. Every call ends with exactly one callback, on any thread; `kUnknown`
-/// says that the effect may have taken place. Thread safe.
+/// Sends requests to the log service. Each call invokes its callback exactly once, on any thread;
+/// `kUnknown` means that the call may have taken effect. Thread safe.
 class LogClient {
  public:
   using Appended = std::function<void(LogStatus, Offset)>;
@@ -27,18 +27,19 @@
   virtual void head(const std::string& stream, Head done) = 0;
 };
 
-/// The log service's HTTP dialect: `POST /v1/streams/S` with the entry's bytes answers the offset;
-/// `GET /v1/streams/S?from=N&limit=M` answers entries framed by `frame_entries`; `HEAD` by limit=0.
+/// Creates a client for the log service's HTTP protocol. `POST /v1/streams/S` with the bytes of an
+/// entry returns its offset; `GET /v1/streams/S?from=N&limit=M` returns entries in the format of
+/// `frame_entries`, and with `limit=0` only the head.
 std::unique_ptr<LogClient> make_http_log_client(const boost::asio::any_io_executor& executor,
                                                 std::string address, Duration timeout);
 
-/// Name of the response header with a stream's next offset.
+/// Response header with the next offset of a stream.
 inline constexpr const char* kLogHeadHeader = "x-log-head";
 
-/// Frames entries for a response body: per entry the offset and the size, 8 bytes little-endian
-/// each, then the bytes.
+/// Encodes entries as a response body: for each entry the offset and the size, as 8 bytes
+/// little-endian each, then the bytes.
 std::string frame_entries(const std::vector<LogEntry>& entries);
-/// Parses what `frame_entries` wrote; returns false if it is truncated.
+/// Decodes the output of `frame_entries`; returns false if it is truncated.
 bool parse_entries(const std::string& body, std::vector<LogEntry>& entries);
 
 }  // namespace stoathold
--- a/src/net/machine_list_client.cc
+++ b/src/net/machine_list_client.cc
@@ -13,7 +13,7 @@
 
 constexpr int kNotModified = 304;
 
-std::string text_of(const json::object& object, std::string_view field) {
+std::string string_field(const json::object& object, std::string_view field) {
   const auto* value = object.if_contains(field);
   return value != nullptr && value->is_string() ? std::string(value->get_string()) : std::string();
 }
@@ -33,7 +33,7 @@
     call.method = "GET";
     call.target = "/v1/machines";
     call.timeout = timeout_;
-    asio::co_spawn(strand_, run(state_, std::move(call), std::move(done)), asio::detached);
+    asio::co_spawn(strand_, fetch(state_, std::move(call), std::move(done)), asio::detached);
   }
 
  private:
@@ -44,7 +44,7 @@
     std::string etag;
   };
 
-  static asio::awaitable<void> run(std::shared_ptr<State> state, HttpCall call, Done done) {
+  static asio::awaitable<void> fetch(std::shared_ptr<State> state, HttpCall call, Done done) {
     if (!state->etag.empty()) call.headers.push_back({"if-none-match", state->etag});
     const HttpReply reply = co_await state->client.call(std::move(call));
     MachineList list;
@@ -75,17 +75,17 @@
   for (const auto& item : machines->get_array()) {
     if (!item.is_object()) return false;
     const auto& machine = item.get_object();
-    const std::string role = text_of(machine, "role");
-    const bool leaving = text_of(machine, "state") == "leaving";
-    const std::string name = text_of(machine, "name");
-    const std::string address = text_of(machine, "address");
+    const std::string role = string_field(machine, "role");
+    const bool leaving = string_field(machine, "state") == "leaving";
+    const std::string name = string_field(machine, "name");
+    const std::string address = string_field(machine, "address");
     if (name.empty() || address.empty()) return false;
     if (role == "node") {
       list.nodes.push_back(
-          {name, text_of(machine, "region"), text_of(machine, "zone"), address, leaving});
+          {name, string_field(machine, "region"), string_field(machine, "zone"), address, leaving});
     } else if (role == "runner") {
-      list.runners.push_back({name, text_of(machine, "region"), text_of(machine, "zone"), address,
-                              text_of(machine, "service"), leaving});
+      list.runners.push_back({name, string_field(machine, "region"), string_field(machine, "zone"),
+                              address, string_field(machine, "service"), leaving});
     }
   }
   return true;
--- a/src/net/machine_list_client.h
+++ b/src/net/machine_list_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's list of live and leaving machines, behind one interface.
+/// Client interface of the platform's list of running and leaving machines.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -14,36 +14,38 @@
 
 namespace stoathold {
 
-/// The machine list as last read. It lags behind reality and is only a hint.
+/// The machine list as last read. It may be out of date and is only a hint.
 struct MachineList {
   std::vector<ListedNode> nodes;
   std::vector<ListedRunner> runners;
 };
 
-/// How a read of the machine list ended.
+/// Result of reading the machine list.
 enum class MachineListStatus : std::uint8_t {
   kUnreadable,
-  kUnchanged,  ///< The list is still the one read last.
+  kUnchanged,  ///< The list has not changed since the last read.
   kChanged,
 };
 
-/// Reads the machine list. Thread safe; one read at a time.
+/// Reads the machine list. Thread safe; at most one read at a time.
 class MachineListClient {
  public:
-  /// Called once per read, on any thread; `list` is set only for `kChanged`.
+  /// Called once for each read, on any thread; `list` is set only for `kChanged`.
   using Done = std::function<void(MachineListStatus status, const MachineList& list)>;
 
   virtual ~MachineListClient() = default;
   virtual void read(Done done) = 0;
 };
 
-/// The HTTP dialect: `GET /v1/machines` answers the JSON that `parse_machine_list` reads, with an
-/// `etag`; the next read sends it as `if-none-match`, and 304 says that nothing changed.
+/// Creates a client for the HTTP protocol: `GET /v1/machines` returns the JSON that
+/// `parse_machine_list` reads, with an `etag`. The next read sends it as `if-none-match`; status
+/// 304 means that the list has not changed.
 std::unique_ptr<MachineListClient> make_http_machine_list_client(
     const boost::asio::any_io_executor& executor, std::string address, Duration timeout);
 
 /// Parses
 /// `{"machines":[{"role":"node|runner","name","region","zone","address","service","state"}]}`.
+/// Returns false if the body is malformed.
 bool parse_machine_list(const std::string& body, MachineList& list);
 
 }  // namespace stoathold
--- a/src/net/peer_transport.cc
+++ b/src/net/peer_transport.cc
@@ -21,7 +21,7 @@
 constexpr std::size_t kFrameHeaderBytes = 4;
 constexpr std::size_t kQueuedBytesLimit = 64ULL * 1024 * 1024;
 constexpr auto kConnectTimeout = std::chrono::milliseconds(800);
-constexpr auto kReconnectPause = std::chrono::milliseconds(200);
+constexpr auto kReconnectDelay = std::chrono::milliseconds(200);
 
 std::string make_frame(const std::string& body) {
   const auto size = static_cast<std::uint32_t>(body.size());
@@ -45,14 +45,14 @@
 }  // namespace
 
 struct PeerTransport::State : std::enable_shared_from_this<PeerTransport::State> {
-  /// One outgoing connection. Its fields are used on its strand only.
-  struct Link {
-    explicit Link(const asio::any_io_executor& executor) : strand(executor), socket(strand) {}
+  /// An outgoing connection with its send queue. Its members are used on its strand only.
+  struct Connection {
+    explicit Connection(const asio::any_io_executor& executor) : strand(executor), socket(strand) {}
     asio::strand<asio::any_io_executor> strand;
     Tcp::socket socket;
     std::deque<std::string> queue;
     std::size_t queued_bytes = 0;
-    bool running = false;
+    bool sending = false;
     bool connected = false;
     TimePoint retry_at;
   };
@@ -62,86 +62,90 @@
         acceptor(asio::make_strand(executor)),
         receiver(std::move(receiver_in)) {}
 
-  std::shared_ptr<Link> link_to(const std::string& address) {
+  std::shared_ptr<Connection> connection_to(const std::string& address) {
     const std::scoped_lock lock(mutex);
-    auto& link = links[address];
-    if (!link) link = std::make_shared<Link>(executor);
-    return link;
+    auto& connection = connections[address];
+    if (!connection) connection = std::make_shared<Connection>(executor);
+    return connection;
   }
 
-  void enqueue(const std::shared_ptr<Link>& link, const std::string& address, std::string frame) {
-    if (link->queued_bytes + frame.size() > kQueuedBytesLimit || monotonic_now() < link->retry_at) {
+  void enqueue(const std::shared_ptr<Connection>& connection, const std::string& address,
+               std::string frame) {
+    if (connection->queued_bytes + frame.size() > kQueuedBytesLimit ||
+        monotonic_now() < connection->retry_at) {
       ++dropped;
       return;
     }
-    link->queued_bytes += frame.size();
-    link->queue.push_back(std::move(frame));
-    if (link->running) return;
-    link->running = true;
-    asio::co_spawn(link->strand, drain(link, address), asio::detached);
+    connection->queued_bytes += frame.size();
+    connection->queue.push_back(std::move(frame));
+    if (connection->sending) return;
+    connection->sending = true;
+    asio::co_spawn(connection->strand, send_queued(connection, address), asio::detached);
   }
 
-  asio::awaitable<bool> connect(std::shared_ptr<Link> link, std::string address) {
+  asio::awaitable<bool> connect(std::shared_ptr<Connection> connection, std::string address) {
     std::string host;
     std::uint16_t port = 0;
     boost::system::error_code error;
     if (!split_address(address, host, port)) co_return false;
     const Tcp::endpoint endpoint(asio::ip::make_address(host, error), port);
     if (error) co_return false;
-    link->socket = Tcp::socket(link->strand);
-    Timer timer(link->strand, kConnectTimeout);
-    timer.async_wait([link](boost::system::error_code timer_error) {
+    connection->socket = Tcp::socket(connection->strand);
+    Timer timer(connection->strand, kConnectTimeout);
+    timer.async_wait([connection](boost::system::error_code timer_error) {
       boost::system::error_code ignored;
-      if (!timer_error && !link->connected) link->socket.close(ignored);
+      if (!timer_error && !connection->connected) connection->socket.close(ignored);
     });
-    const auto [connect_error] = co_await link->socket.async_connect(endpoint, kNoThrow);
+    const auto [connect_error] = co_await connection->socket.async_connect(endpoint, kNoThrow);
     timer.cancel();
     if (connect_error) co_return false;
     boost::system::error_code ignored;
-    link->socket.set_option(Tcp::no_delay(true), ignored);
-    link->connected = true;
-    asio::co_spawn(link->strand, watch(link), asio::detached);
+    connection->socket.set_option(Tcp::no_delay(true), ignored);
+    connection->connected = true;
+    asio::co_spawn(connection->strand, watch_for_close(connection), asio::detached);
     co_return true;
   }
 
-  /// Notices that the peer closed the connection, which carries nothing towards this side.
-  static asio::awaitable<void> watch(std::shared_ptr<Link> link) {
+  /// Detects that the peer has closed the connection. Peers send nothing on it, so any read that
+  /// completes ends it.
+  static asio::awaitable<void> watch_for_close(std::shared_ptr<Connection> connection) {
     std::array<char, 1> byte{};
-    const auto [error, count] = co_await link->socket.async_read_some(asio::buffer(byte), kNoThrow);
+    const auto [error, count] =
+        co_await connection->socket.async_read_some(asio::buffer(byte), kNoThrow);
     if (error == asio::error::operation_aborted) co_return;
     boost::system::error_code ignored;
-    link->socket.close(ignored);
-    link->connected = false;
+    connection->socket.close(ignored);
+    connection->connected = false;
   }
 
-  asio::awaitable<void> drain(std::shared_ptr<Link> link, std::string address) {
+  asio::awaitable<void> send_queued(std::shared_ptr<Connection> connection, std::string address) {
     const auto self = shared_from_this();
-    while (!link->queue.empty() && !stopped) {
-      bool connected = link->connected;
-      if (!connected) connected = co_await connect(link, address);
+    while (!connection->queue.empty() && !stopped) {
+      bool connected = connection->connected;
+      if (!connected) connected = co_await connect(connection, address);
       if (!connected) {
-        dropped += link->queue.size();
-        link->queue.clear();
-        link->queued_bytes = 0;
-        link->retry_at = monotonic_now() + kReconnectPause;
+        dropped += connection->queue.size();
+        connection->queue.clear();
+        connection->queued_bytes = 0;
+        connection->retry_at = monotonic_now() + kReconnectDelay;
         break;
       }
-      const std::string frame = std::move(link->queue.front());
-      link->queue.pop_front();
-      link->queued_bytes -= frame.size();
+      const std::string frame = std::move(connection->queue.front());
+      connection->queue.pop_front();
+      connection->queued_bytes -= frame.size();
       const auto [error, count] =
-          co_await asio::async_write(link->socket, asio::buffer(frame), kNoThrow);
+          co_await asio::async_write(connection->socket, asio::buffer(frame), kNoThrow);
       if (error) {
         boost::system::error_code ignored;
-        link->socket.close(ignored);
-        link->connected = false;
+        connection->socket.close(ignored);
+        connection->connected = false;
         ++dropped;
         continue;
       }
       ++messages_out;
       bytes_out += frame.size();
     }
-    link->running = false;
+    connection->sending = false;
   }
 
   asio::awaitable<void> accept_loop() {
@@ -150,8 +154,8 @@
       auto [error, socket] = co_await acceptor.async_accept(asio::make_strand(executor), kNoThrow);
       if (error == asio::error::operation_aborted || stopped) co_return;
       if (error) {
-        Timer pause(acceptor.get_executor(), kReconnectPause);
-        co_await pause.async_wait(kNoThrow);
+        Timer retry_delay(acceptor.get_executor(), kReconnectDelay);
+        co_await retry_delay.async_wait(kNoThrow);
         continue;
       }
       auto connection_executor = socket.get_executor();
@@ -186,7 +190,7 @@
   Tcp::acceptor acceptor;
   Receiver receiver;
   std::mutex mutex;
-  std::unordered_map<std::string, std::shared_ptr<Link>> links;
+  std::unordered_map<std::string, std::shared_ptr<Connection>> connections;
   std::atomic<bool> stopped{false};
   std::atomic<std::uint64_t> messages_in{0};
   std::atomic<std::uint64_t> messages_out{0};
@@ -231,10 +235,11 @@
 
 void PeerTransport::send(const std::string& address, const PeerEnvelope& envelope) {
   auto frame = make_frame(encode(envelope));
-  const auto link = state_->link_to(address);
-  asio::post(link->strand, [state = state_, link, address, frame = std::move(frame)]() mutable {
-    state->enqueue(link, address, std::move(frame));
-  });
+  const auto connection = state_->connection_to(address);
+  asio::post(connection->strand,
+             [state = state_, connection, address, frame = std::move(frame)]() mutable {
+               state->enqueue(connection, address, std::move(frame));
+             });
 }
 
 std::string PeerTransport::address() const {
--- a/src/net/peer_transport.h
+++ b/src/net/peer_transport.h
@@ -1,5 +1,5 @@
 /// @file
-/// The peer protocol on the wire: length-framed cereal envelopes over TCP.
+/// The peer protocol on the wire: length-prefixed cereal envelopes over TCP.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -12,24 +12,25 @@
 
 namespace stoathold {
 
-/// Traffic of a transport since it started.
+/// Traffic counters of a transport since its start.
 struct PeerTraffic {
   std::uint64_t messages_in = 0;
   std::uint64_t messages_out = 0;
   std::uint64_t bytes_in = 0;
   std::uint64_t bytes_out = 0;
-  std::uint64_t dropped = 0;  ///< Messages given up: no connection, or the queue was full.
+  std::uint64_t dropped =
+      0;  ///< Messages dropped because there was no connection or the queue was full.
 };
 
-/// Sends and receives envelopes. One outgoing connection per peer address, opened when needed and
-/// closed when idle; a message that cannot be sent is dropped, since every sender repeats what
-/// matters. Thread safe.
+/// Sends and receives envelopes. Opens one outgoing connection per peer address when it is first
+/// needed. A message that cannot be sent is dropped, since senders repeat whatever must arrive.
+/// Thread safe.
 class PeerTransport {
  public:
-  /// Called for every envelope received, on any thread.
+  /// Called for each received envelope, on any thread.
   using Receiver = std::function<void(const PeerEnvelope&)>;
 
-  /// Binds at once; throws `std::system_error` if that fails.
+  /// Binds immediately; throws `std::system_error` if that fails.
   PeerTransport(const boost::asio::any_io_executor& executor, const std::string& address,
                 Receiver receiver);
   ~PeerTransport();
@@ -47,7 +48,7 @@
   std::shared_ptr<State> state_;
 };
 
-/// Largest frame accepted; larger ones close the connection.
+/// Maximum size of a received frame; a larger one closes the connection.
 inline constexpr std::uint32_t kMaxPeerFrameBytes = 64U * 1024U * 1024U;
 
 }  // namespace stoathold
--- a/src/net/request_reader.cc
+++ b/src/net/request_reader.cc
@@ -16,13 +16,13 @@
 
 constexpr auto kNoThrow = asio::as_tuple(asio::use_awaitable);
 
-/// Copies of a body that exist at a time: the one that was read, and the one that is written to a
-/// runner.
+/// Copies of a body that exist at the same time: the received one, and the one that is being
+/// written to a runner.
 constexpr std::uint64_t kBodyCopies = 2;
-/// Room for one more read of a body without a stated length: as much as the parser reads at once.
-constexpr std::size_t kReadRoom = 64UL * 1024;
-/// A body that comes makes progress with so many bytes: 4 kB a second, given the time after which
-/// a caller counts as stalled. A byte now and then is none.
+/// Memory for one more read of a body of unknown length: as much as the parser reads at once.
+constexpr std::size_t kReadChunkBytes = 64UL * 1024;
+/// A client that sends a body makes progress with each block of this size: 4 kB/s at the stall
+/// threshold. Single bytes now and then do not count as progress.
 constexpr std::size_t kProgressBytes = 4UL * 1024;
 
 constexpr int kBadRequest = 400;
@@ -31,36 +31,37 @@
 constexpr int kHeaderTooLarge = 431;
 constexpr int kUnavailable = 503;
 constexpr std::string_view kUnreadable = "the request could not be read";
-constexpr std::string_view kNeverFits = "the request's body is larger than this node can hold";
-constexpr std::string_view kNoRoomNow = "this node has no memory for the request's body now";
-constexpr std::string_view kTooSlow = "the request's body came too slowly while memory was short";
+constexpr std::string_view kBodyTooLarge = "the request's body is larger than this node can hold";
+constexpr std::string_view kOutOfMemory = "this node has no memory for the request's body now";
+constexpr std::string_view kBodyTooSlow =
+    "the request's body came too slowly while memory was short";
 
-/// Room is given back as requests end, within a second or so. Callers come back spread over as much
-/// time again, so that they do not all meet.
+/// Memory is usually released within a second, as requests complete. Retries are spread over the
+/// same time again, so that the clients do not return all at once.
 constexpr double kRetryAfterSeconds = 0.5;
 constexpr double kRetrySpreadSeconds = 0.5;
 
-/// A caller that is still sending reads its refusal within this time and these bytes: a body of the
-/// usual limit of 4 MB may be under way.
-constexpr Duration kDropTime = std::chrono::seconds(2);
-constexpr std::size_t kDropBytes = 8UL * 1024 * 1024;
-constexpr std::size_t kDropStep = 16UL * 1024;
+/// Limits of the time and bytes that are read and discarded after a rejection, while the client is
+/// still sending: a body of the usual limit of 4 MB may be under way.
+constexpr Duration kDiscardTimeout = std::chrono::seconds(2);
+constexpr std::size_t kMaxDiscardedBytes = 8UL * 1024 * 1024;
+constexpr std::size_t kDiscardChunkBytes = 16UL * 1024;
 
-ReadOutcome outcome_of(const beast::error_code& error) {
-  ReadOutcome outcome;
-  outcome.reason = kUnreadable;
+RequestReadResult result_of(const beast::error_code& error) {
+  RequestReadResult result;
+  result.reason = kUnreadable;
   if (error == http::error::header_limit) {
-    outcome.status = kHeaderTooLarge;
+    result.status = kHeaderTooLarge;
   } else if (error == http::error::body_limit) {
-    outcome.status = kTooLarge;
+    result.status = kTooLarge;
   } else if (error == beast::error::timeout) {
-    outcome.status = kRequestTimeout;
+    result.status = kRequestTimeout;
   } else if (error == http::error::end_of_stream || error == http::error::partial_message) {
-    outcome.status = 0;
+    result.status = 0;
   } else if (error.category() == http::make_error_code(http::error::bad_method).category()) {
-    outcome.status = kBadRequest;
+    result.status = kBadRequest;
   }
-  return outcome;
+  return result;
 }
 
 std::string retry_after_text() {
@@ -72,101 +73,106 @@
 
 }  // namespace
 
-void BodyHolder::hold() {
-  if (held_) return;
-  held_ = true;
-  since_ = monotonic_now();
-  last_progress_ = since_;
-  holders_.add(*this);
+void RequestBodyBuffer::make_reclaimable() {
+  if (registered_) return;
+  registered_ = true;
+  registered_at_ = monotonic_now();
+  last_progress_ = registered_at_;
+  buffer_registry_.add(*this);
 }
 
-void BodyHolder::came(std::size_t bytes) {
+void RequestBodyBuffer::on_bytes_received(std::size_t bytes) {
   bytes_since_progress_ += bytes;
   if (bytes_since_progress_ < kProgressBytes) return;
   bytes_since_progress_ = 0;
   last_progress_ = monotonic_now();
 }
 
-void BodyHolder::cut_off() {
+void RequestBodyBuffer::reclaim() {
   const TimePoint now = monotonic_now();
-  bounds_.tell({.act = ShortageAct::kBodyCutOff,
-                .status = kUnavailable,
-                .bytes = held_bytes(),
-                .age = now - since_,
-                .stalled = now - last_progress_});
-  holders_.remove(*this);
-  cut_off_ = true;
+  resource_limits_.report({.act = ShortageAct::kBodyCutOff,
+                           .status = kUnavailable,
+                           .bytes = reserved_bytes(),
+                           .age = now - registered_at_,
+                           .stalled = now - last_progress_});
+  buffer_registry_.remove(*this);
+  reclaimed_ = true;
   reservation_.release();
   stream_.cancel();
 }
 
 RequestReader::RequestReader(beast::tcp_stream& stream, beast::flat_buffer& buffer,
-                             const HttpLimits& limits, const ServerBounds& bounds,
-                             ByteHolders& holders)
+                             const HttpLimits& limits, const ServerBounds& resource_limits,
+                             ReclaimableBufferRegistry& buffer_registry)
     : stream_(stream),
       buffer_(buffer),
       limits_(limits),
-      bounds_(bounds),
-      holder_(stream, bounds, holders) {
+      resource_limits_(resource_limits),
+      body_buffer_(stream, resource_limits, buffer_registry) {
   parser_.header_limit(limits.header_bytes);
   parser_.body_limit(limits.body_bytes);
 }
 
-asio::awaitable<ReadOutcome> RequestReader::read_head() {
+asio::awaitable<RequestReadResult> RequestReader::read_head() {
   stream_.expires_after(limits_.header_timeout);
   const auto [error, count] = co_await http::async_read_header(stream_, buffer_, parser_, kNoThrow);
-  if (error) co_return outcome_of(error);
-  const std::optional<ReadOutcome> refused = reserve_body();
-  if (refused) co_return *refused;
-  const ReadOutcome whole{true, 0, {}};
-  co_return whole;
+  if (error) co_return result_of(error);
+  const std::optional<RequestReadResult> rejection = reserve_body();
+  if (rejection) co_return *rejection;
+  const RequestReadResult complete{true, 0, {}};
+  co_return complete;
 }
 
-std::optional<ReadOutcome> RequestReader::reserve_body() {
-  if (!bounds_.limited() || parser_.is_done()) return std::nullopt;
+std::optional<RequestReadResult> RequestReader::reserve_body() {
+  if (!resource_limits_.limited() || parser_.is_done()) return std::nullopt;
   const auto length = parser_.content_length();
   if (!length) {
-    holder_.reservation() = bounds_.budget->charge(MemoryAccount::kRequestBodies, 0);
+    body_buffer_.reservation() = resource_limits_.budget->charge(MemoryAccount::kRequestBodies, 0);
     return reserve_growth();
   }
-  // The parser has compared the length with the limit of the configuration already.
-  constexpr std::uint64_t kMost = std::numeric_limits<std::uint64_t>::max() - kConnectionBytes;
-  const std::uint64_t bytes = *length > kMost / kBodyCopies ? kMost : *length * kBodyCopies;
-  auto reservation = bounds_.budget->reserve(MemoryAccount::kRequestBodies, bytes);
-  if (!reservation) return refusal_for_room(bytes);
-  holder_.reservation() = std::move(*reservation);
+  // The parser has already checked the length against the configured limit.
+  constexpr std::uint64_t kMaxBytes =
+      std::numeric_limits<std::uint64_t>::max() - kConnectionOverheadBytes;
+  const std::uint64_t bytes = *length > kMaxBytes / kBodyCopies ? kMaxBytes : *length * kBodyCopies;
+  auto reservation = resource_limits_.budget->reserve(MemoryAccount::kRequestBodies, bytes);
+  if (!reservation) return reject_for_memory(bytes);
+  body_buffer_.reservation() = std::move(*reservation);
   return std::nullopt;
 }
 
-/// A body without a stated length has room for what the next read may bring. Twice its size is
-/// taken while that is free, so that it is copied seldom; nobody is cut off for that.
-std::optional<ReadOutcome> RequestReader::reserve_growth() {
-  if (!bounds_.limited() || parser_.content_length()) return std::nullopt;
+/// Reserves memory for the next read of a body of unknown length. While memory is free, reserves
+/// twice the current size, so that the body is seldom copied; no other buffer is reclaimed for that
+/// surplus.
+std::optional<RequestReadResult> RequestReader::reserve_growth() {
+  if (!resource_limits_.limited() || parser_.content_length()) return std::nullopt;
   std::string& body = parser_.get().body();
-  MemoryReservation& reservation = holder_.reservation();
-  const std::uint64_t least = kBodyCopies * (body.size() + kReadRoom);
-  if (reservation.bytes() >= least) return std::nullopt;
-  const std::uint64_t ample = kBodyCopies * (2 * body.size() + kReadRoom);
-  const std::uint64_t ample_more = ample - reservation.bytes();
-  const bool ample_fits = bounds_.budget->has_room(MemoryAccount::kRequestBodies, ample_more);
-  const std::uint64_t taken = ample_fits ? ample : least;
-  if (!reservation.grow(taken - reservation.bytes())) return refusal_for_room(least);
-  body.reserve(taken / kBodyCopies);
+  MemoryReservation& reservation = body_buffer_.reservation();
+  const std::uint64_t required = kBodyCopies * (body.size() + kReadChunkBytes);
+  if (reservation.bytes() >= required) return std::nullopt;
+  const std::uint64_t preferred = kBodyCopies * (2 * body.size() + kReadChunkBytes);
+  const std::uint64_t preferred_growth = preferred - reservation.bytes();
+  const bool preferred_fits =
+      resource_limits_.budget->has_room(MemoryAccount::kRequestBodies, preferred_growth);
+  const std::uint64_t target = preferred_fits ? preferred : required;
+  if (!reservation.grow(target - reservation.bytes())) return reject_for_memory(required);
+  body.reserve(target / kBodyCopies);
   return std::nullopt;
 }
 
-/// Never fits what does not fit beside the connection that brings it.
-ReadOutcome RequestReader::refusal_for_room(std::uint64_t bytes) {
-  const bool ever =
-      bounds_.budget->can_ever_fit(MemoryAccount::kRequestBodies, bytes + kConnectionBytes);
-  ReadOutcome outcome;
-  outcome.status = ever ? kUnavailable : kTooLarge;
-  outcome.reason = ever ? kNoRoomNow : kNeverFits;
-  bounds_.tell({.act = ShortageAct::kBodyRefused, .status = outcome.status, .bytes = bytes});
-  return outcome;
+/// Returns the rejection of a body that does not fit: 413 if it could never fit together with its
+/// own connection, 503 otherwise.
+RequestReadResult RequestReader::reject_for_memory(std::uint64_t bytes) {
+  const bool can_fit = resource_limits_.budget->can_ever_fit(MemoryAccount::kRequestBodies,
+                                                             bytes + kConnectionOverheadBytes);
+  RequestReadResult result;
+  result.status = can_fit ? kUnavailable : kTooLarge;
+  result.reason = can_fit ? kOutOfMemory : kBodyTooLarge;
+  resource_limits_.report(
+      {.act = ShortageAct::kBodyRefused, .status = result.status, .bytes = bytes});
+  return result;
 }
 
-asio::awaitable<ReadOutcome> RequestReader::read_body() {
+asio::awaitable<RequestReadResult> RequestReader::read_body() {
   if (beast::iequals(parser_.get()[http::field::expect], "100-continue")) {
     http::response<http::empty_body> proceed{http::status::continue_, 11};
     co_await http::async_write(stream_, proceed, kNoThrow);
@@ -174,47 +180,48 @@
   stream_.expires_after(limits_.body_timeout);
   parser_.eager(true);
   while (!parser_.is_done()) {
-    const std::optional<ReadOutcome> refused = reserve_growth();
-    if (refused) co_return *refused;
+    const std::optional<RequestReadResult> rejection = reserve_growth();
+    if (rejection) co_return *rejection;
     const auto [error, count] = co_await http::async_read_some(stream_, buffer_, parser_, kNoThrow);
-    if (holder_.was_cut_off()) {
-      const ReadOutcome cut_off{false, kUnavailable, kTooSlow};
-      co_return cut_off;
+    if (body_buffer_.was_reclaimed()) {
+      const RequestReadResult too_slow{false, kUnavailable, kBodyTooSlow};
+      co_return too_slow;
     }
-    if (error) co_return outcome_of(error);
-    holder_.came(count);
-    if (!parser_.is_done() && bounds_.limited()) holder_.hold();
+    if (error) co_return result_of(error);
+    body_buffer_.on_bytes_received(count);
+    if (!parser_.is_done() && resource_limits_.limited()) body_buffer_.make_reclaimable();
   }
-  const ReadOutcome whole{true, 0, {}};
-  co_return whole;
+  const RequestReadResult complete{true, 0, {}};
+  co_return complete;
 }
 
-asio::awaitable<void> RequestReader::refuse(ReadOutcome outcome) {
-  holder_.reservation().release();
-  http::response<http::string_body> response{static_cast<http::status>(outcome.status), 11};
+asio::awaitable<void> RequestReader::reject(RequestReadResult result) {
+  body_buffer_.reservation().release();
+  http::response<http::string_body> response{static_cast<http::status>(result.status), 11};
   response.set(http::field::server, kServerName);
   response.set(http::field::content_type, "application/json");
-  if (outcome.status == kUnavailable) response.set(http::field::retry_after, retry_after_text());
+  if (result.status == kUnavailable) response.set(http::field::retry_after, retry_after_text());
   response.keep_alive(false);
-  response.body() = R"({"error":{"code":100,"message":")" + std::string(outcome.reason) +
+  response.body() = R"({"error":{"code":100,"message":")" + std::string(result.reason) +
                     R"(","execution":"not_run","step":"parse","peer":""}})";
   response.prepare_payload();
   stream_.expires_after(std::chrono::seconds(2));
   const auto [error, count] = co_await http::async_write(stream_, response, kNoThrow);
-  if (!error) co_await drop_unread();
+  if (!error) co_await discard_unread();
 }
 
-/// Closed while the caller is sending, the kernel would reset the connection, and the caller would
-/// lose the answer that it has not read yet.
-asio::awaitable<void> RequestReader::drop_unread() {
+/// Reads and discards what the client is still sending. If the connection were closed with unread
+/// bytes, the kernel would reset it, and the client would lose the response that it has not read
+/// yet.
+asio::awaitable<void> RequestReader::discard_unread() {
   boost::system::error_code shutdown_error;
   stream_.socket().shutdown(asio::ip::tcp::socket::shutdown_send, shutdown_error);
   if (shutdown_error) co_return;
   parser_.get().body() = {};
-  std::string dropped(kDropStep, '\0');
-  stream_.expires_after(kDropTime);
-  for (std::size_t total = 0; total < kDropBytes;) {
-    const auto [error, count] = co_await stream_.async_read_some(asio::buffer(dropped), kNoThrow);
+  std::string discarded(kDiscardChunkBytes, '\0');
+  stream_.expires_after(kDiscardTimeout);
+  for (std::size_t total = 0; total < kMaxDiscardedBytes;) {
+    const auto [error, count] = co_await stream_.async_read_some(asio::buffer(discarded), kNoThrow);
     if (error) co_return;
     total += count;
   }
--- a/src/net/request_reader.h
+++ b/src/net/request_reader.h
@@ -1,5 +1,6 @@
 /// @file
-/// Reads one request of a caller within the server's bounds. Include in implementation files only.
+/// Reads one request from a client within the server's limits. Include in implementation files
+/// only.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,44 +14,46 @@
 
 namespace stoathold {
 
-/// How the reading of a request ended.
-struct ReadOutcome {
-  bool whole = false;
-  int status = 0;           ///< Of the answer to a request that could not be read; 0: none is due.
-  std::string_view reason;  ///< For people, in the answer's body.
+/// Result of reading a request or a part of it.
+struct RequestReadResult {
+  bool complete = false;
+  int status = 0;           ///< Status of the error response; 0: none is sent.
+  std::string_view reason;  ///< Error message for the body of the response.
 };
 
-/// A body that is being read: ended if it comes too slowly while others need its room.
-class BodyHolder final : public ByteHolder {
+/// A request body that is being received. It is aborted if it arrives too slowly while others need
+/// its memory.
+class RequestBodyBuffer final : public ReclaimableBuffer {
  public:
-  BodyHolder(boost::beast::tcp_stream& stream, const ServerBounds& bounds, ByteHolders& holders)
-      : stream_(stream), bounds_(bounds), holders_(holders) {}
-  ~BodyHolder() override { holders_.remove(*this); }
-  BodyHolder(const BodyHolder&) = delete;
-  BodyHolder& operator=(const BodyHolder&) = delete;
+  RequestBodyBuffer(boost::beast::tcp_stream& stream, const ServerBounds& resource_limits,
+                    ReclaimableBufferRegistry& buffer_registry)
+      : stream_(stream), resource_limits_(resource_limits), buffer_registry_(buffer_registry) {}
+  ~RequestBodyBuffer() override { buffer_registry_.remove(*this); }
+  RequestBodyBuffer(const RequestBodyBuffer&) = delete;
+  RequestBodyBuffer& operator=(const RequestBodyBuffer&) = delete;
 
-  /// From now on the body may be cut off, until it is let go.
-  void hold();
-  void let_go() { holders_.remove(*this); }
-  /// So many bytes of it have come.
-  void came(std::size_t bytes);
-  [[nodiscard]] bool was_cut_off() const { return cut_off_; }
+  /// Registers the body, which may be reclaimed from now on until `unregister`.
+  void make_reclaimable();
+  void unregister() { buffer_registry_.remove(*this); }
+  /// Records that bytes of the body were received.
+  void on_bytes_received(std::size_t bytes);
+  [[nodiscard]] bool was_reclaimed() const { return reclaimed_; }
   [[nodiscard]] MemoryReservation& reservation() { return reservation_; }
 
-  [[nodiscard]] std::uint64_t held_bytes() const override { return reservation_.bytes(); }
+  [[nodiscard]] std::uint64_t reserved_bytes() const override { return reservation_.bytes(); }
   [[nodiscard]] TimePoint last_progress() const override { return last_progress_; }
-  void cut_off() override;
+  void reclaim() override;
 
  private:
   boost::beast::tcp_stream& stream_;
-  const ServerBounds& bounds_;
-  ByteHolders& holders_;
+  const ServerBounds& resource_limits_;
+  ReclaimableBufferRegistry& buffer_registry_;
   MemoryReservation reservation_;
-  TimePoint since_{};
+  TimePoint registered_at_{};
   TimePoint last_progress_{};
   std::size_t bytes_since_progress_ = 0;
-  bool held_ = false;
-  bool cut_off_ = false;
+  bool registered_ = false;
+  bool reclaimed_ = false;
 };
 
 /// Reads one request. Used on the connection's strand.
@@ -58,37 +61,39 @@
  public:
   using Request = boost::beast::http::request<boost::beast::http::string_body>;
 
-  /// All outlive the reader.
+  /// All arguments must outlive the reader.
   RequestReader(boost::beast::tcp_stream& stream, boost::beast::flat_buffer& buffer,
-                const HttpLimits& limits, const ServerBounds& bounds, ByteHolders& holders);
+                const HttpLimits& limits, const ServerBounds& resource_limits,
+                ReclaimableBufferRegistry& buffer_registry);
 
-  /// Reads the head, and takes the room for the body. @return whole: the body may be read.
-  boost::asio::awaitable<ReadOutcome> read_head();
-  /// Reads the rest of the request, unless it must not be.
-  boost::asio::awaitable<ReadOutcome> read_body();
-  /// Answers a request that was not read whole, and lets the answer arrive though the caller may
-  /// still be sending; the connection is of no more use then.
-  boost::asio::awaitable<void> refuse(ReadOutcome outcome);
+  /// Reads the head and reserves memory for the body. @return `complete` if the body may be read.
+  boost::asio::awaitable<RequestReadResult> read_head();
+  /// Reads the rest of the request; rejects it if its memory cannot be reserved or is reclaimed.
+  boost::asio::awaitable<RequestReadResult> read_body();
+  /// Sends the response to a request that was not read completely, and makes sure that it can
+  /// arrive although the client may still be sending. The connection cannot be used afterwards.
+  boost::asio::awaitable<void> reject(RequestReadResult result);
   Request release() { return parser_.release(); }
-  /// The bytes of the body, to be held as long as it is.
+  /// Returns the memory reservation of the body, to be kept as long as the body is.
   MemoryReservation take_reservation() {
-    holder_.let_go();
-    return std::move(holder_.reservation());
+    body_buffer_.unregister();
+    return std::move(body_buffer_.reservation());
   }
 
  private:
-  /// Takes the room for a body before it is read. @return why it must not be read, if so.
-  std::optional<ReadOutcome> reserve_body();
-  std::optional<ReadOutcome> reserve_growth();
-  ReadOutcome refusal_for_room(std::uint64_t bytes);
-  boost::asio::awaitable<void> drop_unread();
+  /// Reserves memory for the body before it is read. @return the rejection if the body must not be
+  /// read.
+  std::optional<RequestReadResult> reserve_body();
+  std::optional<RequestReadResult> reserve_growth();
+  RequestReadResult reject_for_memory(std::uint64_t bytes);
+  boost::asio::awaitable<void> discard_unread();
 
   boost::beast::tcp_stream& stream_;
   boost::beast::flat_buffer& buffer_;
   const HttpLimits& limits_;
-  const ServerBounds& bounds_;
+  const ServerBounds& resource_limits_;
   boost::beast::http::request_parser<boost::beast::http::string_body> parser_;
-  BodyHolder holder_;
+  RequestBodyBuffer body_buffer_;
 };
 
 }  // namespace stoathold
--- a/src/net/server_bounds.h
+++ b/src/net/server_bounds.h
@@ -1,5 +1,6 @@
 /// @file
-/// Bounds of what a server holds for its callers, and what it tells when it keeps to them.
+/// Memory and connection limits of a server, and the overload events that it reports when it
+/// enforces them.
 #pragma once
 
 #include <cstdint>
@@ -11,40 +12,41 @@
 
 namespace stoathold {
 
-/// Bytes of a connection beside its request and answer: coroutines, parser, read buffer (measured
-/// with 2,000 idle ones: see docs/design/memory-budget.md).
-inline constexpr std::uint64_t kConnectionBytes = 16UL * 1024;
+/// Memory of a connection apart from its request and response: coroutines, parser and read buffer
+/// (measured with 2,000 idle connections, see docs/design/memory-budget.md).
+inline constexpr std::uint64_t kConnectionOverheadBytes = 16UL * 1024;
 
-/// What a server did since room was short.
+/// Action of a server at its memory or connection limit.
 enum class ShortageAct : std::uint8_t {
-  kBodyRefused,        ///< A request was refused before its body was read.
-  kBodyCutOff,         ///< A body came too slowly while others needed the room.
-  kAnswerCutOff,       ///< An answer was not taken while others needed the room.
-  kIdleClosed,         ///< The connection that was idle for longest was closed for a new one.
-  kConnectionRefused,  ///< A new connection got 503.
-  kConnectionClosed,   ///< A new connection was closed unread.
+  kBodyRefused,        ///< A request was rejected before its body was read.
+  kBodyCutOff,         ///< A body that arrived too slowly was aborted to free memory.
+  kAnswerCutOff,       ///< A response that the client did not read was aborted to free memory.
+  kIdleClosed,         ///< The longest idle connection was closed in favour of a new one.
+  kConnectionRefused,  ///< A new connection was answered with 503.
+  kConnectionClosed,   ///< A new connection was closed without reading.
 };
 
 /// Returns the name for logs and metrics.
 std::string_view to_string(ShortageAct act);
 
-/// One such act.
+/// Report of one such action.
 struct Shortage {
   ShortageAct act = ShortageAct::kBodyRefused;
-  int status = 0;           ///< Sent to the caller; 0: none.
-  std::uint64_t bytes = 0;  ///< Asked for, or held until then.
-  Duration age{0};          ///< For which bytes were held.
-  Duration stalled{0};      ///< For which the caller had not gone on.
+  int status = 0;           ///< Status sent to the client; 0: none.
+  std::uint64_t bytes = 0;  ///< Bytes requested, or held until the action.
+  Duration age{0};          ///< How long the bytes were held.
+  Duration stalled{0};      ///< How long the client had made no progress.
 };
 
-/// Bounds of a server. With a budget, the server is used on one thread.
+/// Memory and connection limits of a server. A server with a memory budget must run on a single
+/// thread.
 struct ServerBounds {
-  MemoryBudget* budget = nullptr;    ///< Outlives the server; null, or without a limit: none.
-  std::size_t most_connections = 0;  ///< 0: no bound.
+  MemoryBudget* budget = nullptr;    ///< Outlives the server; null or unlimited: no limit.
+  std::size_t most_connections = 0;  ///< 0: no limit.
   std::function<void(const Shortage&)> listener;  ///< Must not call the server.
 
   [[nodiscard]] bool limited() const { return budget != nullptr && budget->limited(); }
-  void tell(const Shortage& shortage) const {
+  void report(const Shortage& shortage) const {
     if (listener) listener(shortage);
   }
 };
--- a/src/net/server_exchange.cc
+++ b/src/net/server_exchange.cc
@@ -11,15 +11,16 @@
 using Tcp = asio::ip::tcp;
 
 constexpr auto kNoThrow = asio::as_tuple(asio::use_awaitable);
-/// Most of an answer that is read ahead for a caller: longer than the answers of chat requests
-/// (some kB), so that their runners' places never wait for a caller.
+/// Maximum number of response bytes that are read ahead for a client: more than the responses to
+/// chat requests (some kB), so that a slow client does not occupy a runner's slot.
 constexpr std::size_t kReadAheadBytes = 1024UL * 1024;
-/// Room that reading on may take before it is asked for again.
-constexpr std::size_t kReadAheadStep = 64UL * 1024;
-/// Between two looks for room while a caller's backlog has none.
-constexpr Duration kRoomPoll = std::chrono::milliseconds(100);
-/// Bodies of this size and more are counted and may be cut off while they wait for their callers.
-constexpr std::size_t kCountedBodyBytes = 16UL * 1024;
+/// Memory that reading ahead may use before availability is checked again.
+constexpr std::size_t kReadAheadReserveBytes = 64UL * 1024;
+/// Interval of the checks for memory while the buffer of a client cannot grow.
+constexpr Duration kMemoryPollInterval = std::chrono::milliseconds(100);
+/// Response bodies of at least this size count towards the memory budget and may be reclaimed while
+/// they wait for their clients.
+constexpr std::size_t kMinAccountedBodyBytes = 16UL * 1024;
 
 std::string_view view_of(beast::string_view text) {
   return {text.data(), text.size()};
@@ -51,8 +52,8 @@
 }
 
 ServerExchange::~ServerExchange() {
-  if (backlog_) backlog_->detach();
-  watch_.forget();
+  if (write_buffer_) write_buffer_->detach();
+  watch_.clear_callback();
 }
 
 std::string_view ServerExchange::method() const {
@@ -83,7 +84,7 @@
                beast::string_view(content_type.data(), content_type.size()));
   for (const auto& header : headers) response.set(header.name, header.value);
   response.keep_alive(may_keep_alive());
-  const bool counted = surroundings_.bounds.limited() && body.size() >= kCountedBodyBytes;
+  const bool counted = context_.resource_limits.limited() && body.size() >= kMinAccountedBodyBytes;
   response.body() = std::move(body);
   response.prepare_payload();
   stream_.expires_after(limits_.write_timeout);
@@ -128,24 +129,26 @@
 }
 
 asio::awaitable<bool> ServerExchange::write(std::string_view bytes) {
-  if (!send_piece(bytes)) co_return false;
+  if (!send_body_part(bytes)) co_return false;
   const bool drained = co_await drain();
   co_return drained;
 }
 
 asio::awaitable<bool> ServerExchange::write_ahead(std::string_view bytes) {
-  if (!send_piece(bytes)) co_return false;
-  if (!backlog_ || backlog_->pending() == 0) co_return true;
+  if (!send_body_part(bytes)) co_return false;
+  if (!write_buffer_ || write_buffer_->pending() == 0) co_return true;
   const TimePoint give_up = monotonic_now() + limits_.write_timeout;
-  // Room may come free meanwhile, also from callers that have been stalled for long enough by then.
-  std::size_t most = read_ahead_bytes();
-  while (!backlog_->failed() && backlog_->pending() > most) {
+  // Memory may become available during the wait, also from clients that have reached the stall
+  // threshold by then.
+  std::size_t max_pending = read_ahead_bytes();
+  while (!write_buffer_->failed() && write_buffer_->pending() > max_pending) {
     const Duration left = give_up - monotonic_now();
-    co_await backlog_->wait(most, std::min(kRoomPoll, left));
-    if (left <= kRoomPoll && backlog_->pending() > most) backlog_->fail();
-    most = read_ahead_bytes();
+    co_await write_buffer_->wait(max_pending, std::min(kMemoryPollInterval, left));
+    if (left <= kMemoryPollInterval && write_buffer_->pending() > max_pending)
+      write_buffer_->fail();
+    max_pending = read_ahead_bytes();
   }
-  healthy_ = healthy_ && !backlog_->failed();
+  healthy_ = healthy_ && !write_buffer_->failed();
   co_return healthy_;
 }
 
@@ -163,7 +166,7 @@
 
 void ServerExchange::abort() {
   healthy_ = false;
-  if (backlog_) backlog_->fail();
+  if (write_buffer_) write_buffer_->fail();
   boost::system::error_code ignored;
   if (framing_ == BodyFraming::kUntilClose) {
     stream_.socket().set_option(asio::socket_base::linger(true, 0), ignored);
@@ -175,62 +178,65 @@
   watch_.start(std::move(on_disconnect));
 }
 
-bool ServerExchange::send_piece(std::string_view bytes) {
+bool ServerExchange::send_body_part(std::string_view bytes) {
   const asio::const_buffer piece(bytes.data(), bytes.size());
   if (framing_ == BodyFraming::kChunked) return send(http::make_chunk(piece));
   return send(piece);
 }
 
-/// Writes at once what the socket takes: most callers read faster than runners write, and a wait
-/// costs turns of the loop and a timer. What it does not take waits in the backlog.
+/// Writes what the socket accepts immediately and buffers the rest. Most clients read faster than
+/// runners write, and a wait would cost event loop iterations and a timer.
 template <typename Buffers>
 bool ServerExchange::send(const Buffers& buffers) {
   if (!healthy_) return false;
   std::size_t written = 0;
-  if (!backlog_ || (backlog_->pending() == 0 && !backlog_->failed())) {
+  if (!write_buffer_ || (write_buffer_->pending() == 0 && !write_buffer_->failed())) {
     boost::system::error_code error;
     written = write_at_once(stream_.socket(), buffers, error);
     healthy_ = !error;
     if (error || written == asio::buffer_size(buffers)) return healthy_;
   }
-  keep_rest(buffers, written);
-  healthy_ = !backlog_->failed();
+  buffer_remainder(buffers, written);
+  healthy_ = !write_buffer_->failed();
   return healthy_;
 }
 
 template <typename Buffers>
-void ServerExchange::keep_rest(const Buffers& buffers, std::size_t written) {
-  if (!backlog_) {
-    const auto cut_off = [executor = stream_.get_executor(), watch = watch_.weak_from_this()] {
+void ServerExchange::buffer_remainder(const Buffers& buffers, std::size_t written) {
+  if (!write_buffer_) {
+    const auto on_reclaimed = [executor = stream_.get_executor(), watch = watch_.weak_from_this()] {
       asio::post(executor, [watch] {
         if (const auto alive = watch.lock()) alive->disconnected();
       });
     };
-    backlog_ = std::make_shared<AnswerBacklog>(stream_.socket(), surroundings_.bounds,
-                                               surroundings_.holders, cut_off);
+    write_buffer_ = std::make_shared<ResponseWriteBuffer>(
+        stream_.socket(), context_.resource_limits, context_.buffer_registry, on_reclaimed);
   }
   beast::buffers_suffix<Buffers> rest(buffers);
   rest.consume(written);
   for (const asio::const_buffer piece : beast::buffers_range_ref(rest)) {
-    backlog_->append({static_cast<const char*>(piece.data()), piece.size()});
+    write_buffer_->append({static_cast<const char*>(piece.data()), piece.size()});
   }
-  backlog_->start();
+  write_buffer_->start();
 }
 
-/// Without a limit nothing is read ahead, and where room is short only what is at hand is held.
+/// Returns how many bytes may be buffered ahead: none without a memory limit, and none beyond the
+/// bytes already received while memory is short.
 std::size_t ServerExchange::read_ahead_bytes() const {
-  const ServerBounds& bounds = surroundings_.bounds;
-  if (!bounds.limited()) return 0;
-  return bounds.budget->make_room(MemoryAccount::kAnswers, kReadAheadStep) ? kReadAheadBytes : 0;
+  const ServerBounds& resource_limits = context_.resource_limits;
+  if (!resource_limits.limited()) return 0;
+  return resource_limits.budget->make_room(MemoryAccount::kAnswers, kReadAheadReserveBytes)
+             ? kReadAheadBytes
+             : 0;
 }
 
 asio::awaitable<bool> ServerExchange::drain() {
-  if (!backlog_ || !healthy_) co_return healthy_;
-  const auto backlog = backlog_;
-  co_await backlog->wait(0, limits_.write_timeout);
-  // Neither drained nor failed: the time is over.
-  if (backlog->pending() > 0) backlog->fail();
-  healthy_ = healthy_ && !backlog->failed();
+  if (!write_buffer_ || !healthy_) co_return healthy_;
+  const auto write_buffer = write_buffer_;
+  co_await write_buffer->wait(0, limits_.write_timeout);
+  // Neither drained nor failed: the wait timed out.
+  if (write_buffer->pending() > 0) write_buffer->fail();
+  healthy_ = healthy_ && !write_buffer->failed();
   co_return healthy_;
 }
 
--- a/src/net/server_exchange.h
+++ b/src/net/server_exchange.h
@@ -1,5 +1,5 @@
 /// @file
-/// One request on a server's connection and its answer. Include in implementation files only.
+/// One request on a server's connection and its response. Include in implementation files only.
 #pragma once
 
 #include <atomic>
@@ -17,24 +17,24 @@
 
 namespace stoathold {
 
-/// Sent as `Server` in each answer.
+/// Value of the `Server` header of each response.
 inline constexpr const char* kServerName = "stoathold";
 
-/// Notices that the caller closes its connection while its request is handled. One per connection;
-/// shared with the pending wait, which may outlive the request it was started for.
+/// Detects that the client closes its connection while its request is handled. One per connection;
+/// shared with the pending socket wait, which may outlive the request for which it was started.
 class DisconnectWatch : public std::enable_shared_from_this<DisconnectWatch> {
  public:
   explicit DisconnectWatch(boost::asio::ip::tcp::socket& socket) : socket_(&socket) {}
 
   void start(std::function<void()> on_disconnect);
-  /// The request has ended: nothing is called any more.
-  void forget() { on_disconnect_ = nullptr; }
-  /// The connection's socket is about to go.
+  /// Clears the callback when the request has ended.
+  void clear_callback() { on_disconnect_ = nullptr; }
+  /// Must be called before the connection's socket is destroyed.
   void detach() {
-    forget();
+    clear_callback();
     socket_ = nullptr;
   }
-  /// The connection has been closed from this side.
+  /// Calls the callback after the connection was closed from this side.
   void disconnected();
 
  private:
@@ -45,24 +45,24 @@
   bool waiting_ = false;
 };
 
-/// What all exchanges of a server share. Outlives them.
-struct ExchangeSurroundings {
+/// State shared by all exchanges of a server; outlives them.
+struct ExchangeContext {
   const std::atomic<bool>& draining;
-  const ServerBounds& bounds;
-  ByteHolders& holders;
+  const ServerBounds& resource_limits;
+  ReclaimableBufferRegistry& buffer_registry;
 };
 
-/// The exchange that a server hands to its handler.
+/// The `HttpExchange` that a server passes to its handler.
 class ServerExchange final : public HttpExchange {
  public:
   using Request = boost::beast::http::request<boost::beast::http::string_body>;
 
   ServerExchange(boost::beast::tcp_stream& stream, Request request, const HttpLimits& limits,
-                 const ExchangeSurroundings& surroundings, DisconnectWatch& watch)
+                 const ExchangeContext& exchange_context, DisconnectWatch& watch)
       : stream_(stream),
         request_(std::move(request)),
         limits_(limits),
-        surroundings_(surroundings),
+        context_(exchange_context),
         watch_(watch) {}
   ~ServerExchange() override;
   ServerExchange(const ServerExchange&) = delete;
@@ -89,23 +89,21 @@
   [[nodiscard]] bool reusable() const { return healthy_ && keep_alive_ && answered_; }
 
  private:
-  bool send_piece(std::string_view bytes);
+  bool send_body_part(std::string_view bytes);
   template <typename Buffers>
   bool send(const Buffers& buffers);
   template <typename Buffers>
-  void keep_rest(const Buffers& buffers, std::size_t written);
+  void buffer_remainder(const Buffers& buffers, std::size_t written);
   boost::asio::awaitable<bool> drain();
   [[nodiscard]] std::size_t read_ahead_bytes() const;
-  [[nodiscard]] bool may_keep_alive() const {
-    return request_.keep_alive() && !surroundings_.draining;
-  }
+  [[nodiscard]] bool may_keep_alive() const { return request_.keep_alive() && !context_.draining; }
 
   boost::beast::tcp_stream& stream_;
   Request request_;
   const HttpLimits& limits_;
-  const ExchangeSurroundings& surroundings_;
+  const ExchangeContext& context_;
   DisconnectWatch& watch_;
-  std::shared_ptr<AnswerBacklog> backlog_;  ///< Null while the socket has taken everything.
+  std::shared_ptr<ResponseWriteBuffer> write_buffer_;  ///< Null until a write is incomplete.
   BodyFraming framing_ = BodyFraming::kChunked;
   bool healthy_ = true;
   bool keep_alive_ = false;
--- a/src/net/weight_store_client.cc
+++ b/src/net/weight_store_client.cc
@@ -34,16 +34,16 @@
  private:
   static asio::awaitable<void> run(std::shared_ptr<HttpClient> client, HttpCall call, Done done) {
     const HttpReply reply = co_await client->call(std::move(call));
-    WeightTicket ticket;
-    ticket.granted = reply.ok();
+    WeightReservation reservation;
+    reservation.granted = reply.ok();
     if (reply.status == kTooManyRequests) {
       const std::string_view text = reply.header("retry-after");
       int seconds = 1;
       std::from_chars(text.data(), text.data() + text.size(), seconds);
-      ticket.retry_after = std::chrono::seconds(seconds);
+      reservation.retry_after = std::chrono::seconds(seconds);
     }
     const bool answered = reply.ok() || reply.status == kTooManyRequests;
-    done(answered, ticket);
+    done(answered, reservation);
   }
 
   asio::any_io_executor executor_;
--- a/src/net/weight_store_client.h
+++ b/src/net/weight_store_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's rate-limited weight store, behind one interface.
+/// Client interface of the platform's rate-limited weight store.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -11,22 +11,23 @@
 
 namespace stoathold {
 
-/// Answer of the weight store to a reservation.
-struct WeightTicket {
+/// Response of the weight store to a reservation request.
+struct WeightReservation {
   bool granted = false;
-  Duration retry_after{0};  ///< When to ask again, if not granted.
+  Duration retry_after{0};  ///< Delay before the next request if it was not granted.
 };
 
-/// Asks the weight store whether a model may be fetched now. Thread safe.
+/// Asks the weight store for permission to fetch a model. Thread safe.
 class WeightStoreClient {
  public:
-  using Done = std::function<void(bool ok, WeightTicket ticket)>;
+  using Done = std::function<void(bool ok, WeightReservation reservation)>;
 
   virtual ~WeightStoreClient() = default;
   virtual void reserve(const std::string& model, const std::string& version, Done done) = 0;
 };
 
-/// The HTTP dialect: `POST /v1/weights/MODEL/VERSION` answers 200, or 429 with `retry-after`.
+/// Creates a client for the HTTP protocol: `POST /v1/weights/MODEL/VERSION` returns 200, or 429
+/// with `retry-after`.
 std::unique_ptr<WeightStoreClient> make_http_weight_store_client(
     const boost::asio::any_io_executor& executor, std::string address, Duration timeout);
 
--- a/tests/net/byte_holders_test.cc
+++ b/tests/net/byte_holders_test.cc
@@ -7,26 +7,26 @@
 
 constexpr std::uint64_t kKilobyte = 1024;
 
-class FakeHolder final : public ByteHolder {
+class FakeBuffer final : public ReclaimableBuffer {
  public:
-  FakeHolder(ByteHolders& holders, std::uint64_t bytes, TimePoint progress)
-      : holders_(holders), bytes_(bytes), progress_(progress) {
-    holders_.add(*this);
+  FakeBuffer(ReclaimableBufferRegistry& registry, std::uint64_t bytes, TimePoint progress)
+      : registry_(registry), bytes_(bytes), progress_(progress) {
+    registry_.add(*this);
   }
-  ~FakeHolder() override { holders_.remove(*this); }
-  FakeHolder(const FakeHolder&) = delete;
-  FakeHolder& operator=(const FakeHolder&) = delete;
+  ~FakeBuffer() override { registry_.remove(*this); }
+  FakeBuffer(const FakeBuffer&) = delete;
+  FakeBuffer& operator=(const FakeBuffer&) = delete;
 
-  [[nodiscard]] std::uint64_t held_bytes() const override { return bytes_; }
+  [[nodiscard]] std::uint64_t reserved_bytes() const override { return bytes_; }
   [[nodiscard]] TimePoint last_progress() const override { return progress_; }
-  void cut_off() override {
-    cut = true;
-    holders_.remove(*this);
+  void reclaim() override {
+    reclaimed = true;
+    registry_.remove(*this);
   }
-  bool cut = false;
+  bool reclaimed = false;
 
  private:
-  ByteHolders& holders_;
+  ReclaimableBufferRegistry& registry_;
   std::uint64_t bytes_;
   TimePoint progress_;
 };
@@ -37,33 +37,35 @@
   return kNow - std::chrono::seconds(seconds);
 }
 
-// A caller of a narrow link that goes on is never cut off, whatever it holds.
-TEST(ByteHoldersTest, WhoGoesOnIsLeftAlone) {
-  ByteHolders holders;
-  const FakeHolder large(holders, 1024 * kKilobyte, kNow - kStallTime / 2);
-  EXPECT_FALSE(holders.cut_off_slowest(kNow));
-  EXPECT_FALSE(large.cut);
+// A client behind a slow link that keeps making progress is never aborted, however many bytes it
+// holds.
+TEST(ReclaimableBufferRegistryTest, ClientWithProgressIsNotReclaimed) {
+  ReclaimableBufferRegistry registry;
+  const FakeBuffer large(registry, 1024 * kKilobyte, kNow - kStallThreshold / 2);
+  EXPECT_FALSE(registry.reclaim_slowest(kNow));
+  EXPECT_FALSE(large.reclaimed);
 }
 
-// 2,000 callers at a byte a second: those that hold most for longest go first, one at a time.
-TEST(ByteHoldersTest, TheSlowestWithTheMostHeldGoesFirst) {
-  ByteHolders holders;
-  const FakeHolder brief(holders, 100 * kKilobyte, seconds_ago(3));
-  const FakeHolder small(holders, kKilobyte, seconds_ago(30));
-  const FakeHolder worst(holders, 50 * kKilobyte, seconds_ago(20));
-  EXPECT_TRUE(holders.cut_off_slowest(kNow));
-  EXPECT_TRUE(worst.cut);
-  EXPECT_TRUE(holders.cut_off_slowest(kNow));
-  EXPECT_TRUE(brief.cut);
-  EXPECT_TRUE(holders.cut_off_slowest(kNow));
-  EXPECT_TRUE(small.cut);
-  EXPECT_FALSE(holders.cut_off_slowest(kNow));
+// 2,000 clients read one byte per second: buffers are reclaimed one at a time, in descending order
+// of bytes times stall time.
+TEST(ReclaimableBufferRegistryTest, GreatestBytesTimesStallIsReclaimedFirst) {
+  ReclaimableBufferRegistry registry;
+  const FakeBuffer brief(registry, 100 * kKilobyte, seconds_ago(3));
+  const FakeBuffer small(registry, kKilobyte, seconds_ago(30));
+  const FakeBuffer worst(registry, 50 * kKilobyte, seconds_ago(20));
+  EXPECT_TRUE(registry.reclaim_slowest(kNow));
+  EXPECT_TRUE(worst.reclaimed);
+  EXPECT_TRUE(registry.reclaim_slowest(kNow));
+  EXPECT_TRUE(brief.reclaimed);
+  EXPECT_TRUE(registry.reclaim_slowest(kNow));
+  EXPECT_TRUE(small.reclaimed);
+  EXPECT_FALSE(registry.reclaim_slowest(kNow));
 }
 
-TEST(ByteHoldersTest, WhoHoldsNothingIsNotCutOff) {
-  ByteHolders holders;
-  const FakeHolder empty(holders, 0, seconds_ago(60));
-  EXPECT_FALSE(holders.cut_off_slowest(kNow));
+TEST(ReclaimableBufferRegistryTest, EmptyBufferIsNotReclaimed) {
+  ReclaimableBufferRegistry registry;
+  const FakeBuffer empty(registry, 0, seconds_ago(60));
+  EXPECT_FALSE(registry.reclaim_slowest(kNow));
 }
 
 }  // namespace
--- a/tests/net/caller_connections_test.cc
+++ b/tests/net/caller_connections_test.cc
@@ -8,57 +8,58 @@
 constexpr TimePoint kStart{std::chrono::seconds(100)};
 constexpr TimePoint kLater = kStart + std::chrono::seconds(5);
 
-std::uint64_t open_idle(CallerConnections& connections, CallerAddress caller, TimePoint since) {
-  connections.opened(caller);
-  return connections.enter_idle(caller, since);
+std::uint64_t open_idle(ClientConnections& connections, ClientAddress client,
+                        TimePoint idle_since) {
+  connections.add_connection(client);
+  return connections.mark_idle(client, idle_since);
 }
 
-TEST(CallerConnectionsTest, TheOldestOfWhoHoldsMostGoes) {
-  CallerConnections connections;
+TEST(ClientConnectionsTest, EvictsOldestConnectionOfLargestClient) {
+  ClientConnections connections;
   open_idle(connections, 1, kStart);
   const auto oldest = open_idle(connections, 2, kStart);
   open_idle(connections, 2, kStart);
-  const auto choice = connections.choose_for(3, kLater);
-  ASSERT_TRUE(choice);
-  EXPECT_EQ(choice->caller, 2U);
-  EXPECT_EQ(choice->turn, oldest);
+  const auto candidate = connections.select_eviction_candidate(3, kLater);
+  ASSERT_TRUE(candidate);
+  EXPECT_EQ(candidate->client, 2U);
+  EXPECT_EQ(candidate->sequence, oldest);
 }
 
-TEST(CallerConnectionsTest, WhoHoldsMostPushesOutNobodyElse) {
-  CallerConnections connections;
+TEST(ClientConnectionsTest, LargestClientEvictsOnlyItsOwn) {
+  ClientConnections connections;
   open_idle(connections, 1, kStart);
-  connections.opened(2);
-  connections.opened(2);
-  EXPECT_FALSE(connections.choose_for(2, kLater));
-  const auto own = connections.enter_idle(2, kStart);
-  const auto choice = connections.choose_for(2, kLater);
-  ASSERT_TRUE(choice);
-  EXPECT_EQ(choice->turn, own);
+  connections.add_connection(2);
+  connections.add_connection(2);
+  EXPECT_FALSE(connections.select_eviction_candidate(2, kLater));
+  const auto own = connections.mark_idle(2, kStart);
+  const auto candidate = connections.select_eviction_candidate(2, kLater);
+  ASSERT_TRUE(candidate);
+  EXPECT_EQ(candidate->sequence, own);
 }
 
-// All callers may come through one address.
-TEST(CallerConnectionsTest, BehindOneAddressTheOldestGoes) {
-  CallerConnections connections;
+// All clients may connect through one proxy address.
+TEST(ClientConnectionsTest, EvictsOldestOfSingleAddress) {
+  ClientConnections connections;
   const auto oldest = open_idle(connections, 1, kStart);
   open_idle(connections, 1, kStart);
-  const auto choice = connections.choose_for(1, kLater);
-  ASSERT_TRUE(choice);
-  EXPECT_EQ(choice->turn, oldest);
+  const auto candidate = connections.select_eviction_candidate(1, kLater);
+  ASSERT_TRUE(candidate);
+  EXPECT_EQ(candidate->sequence, oldest);
 }
 
-TEST(CallerConnectionsTest, ANewConnectionIsNotTakenForAnIdleOne) {
-  CallerConnections connections;
+TEST(ClientConnectionsTest, NewConnectionIsNotIdle) {
+  ClientConnections connections;
   open_idle(connections, 1, kStart);
-  EXPECT_FALSE(connections.choose_for(2, kStart + kLeastIdleTime / 2));
+  EXPECT_FALSE(connections.select_eviction_candidate(2, kStart + kMinIdleTime / 2));
 }
 
-TEST(CallerConnectionsTest, WhatHasEndedOrBegunIsNotChosen) {
-  CallerConnections connections;
-  const auto turn = open_idle(connections, 1, kStart);
-  connections.leave_idle(1, turn);
-  EXPECT_FALSE(connections.choose_for(2, kLater));
-  connections.closed(1);
-  EXPECT_FALSE(connections.choose_for(1, kLater));
+TEST(ClientConnectionsTest, BusyAndClosedConnectionsAreNotEvicted) {
+  ClientConnections connections;
+  const auto sequence = open_idle(connections, 1, kStart);
+  connections.mark_busy(1, sequence);
+  EXPECT_FALSE(connections.select_eviction_candidate(2, kLater));
+  connections.remove_connection(1);
+  EXPECT_FALSE(connections.select_eviction_candidate(1, kLater));
 }
 
 }  // namespace
--- a/tests/net/event_splitter_test.cc
+++ b/tests/net/event_splitter_test.cc
@@ -9,7 +9,7 @@
   return "id: " + std::to_string(token) + "\ndata: t\n\n";
 }
 
-TEST(EventSplitterTest, EventsSplitOverReadsAreJoined) {
+TEST(EventSplitterTest, JoinsEventsSplitAcrossReads) {
   const std::string all = event(1) + event(2) + std::string(kEndEvent);
   for (std::size_t cut = 1; cut < all.size(); ++cut) {
     EventSplitter splitter(0);
@@ -23,18 +23,18 @@
   }
 }
 
-TEST(EventSplitterTest, TokensDeliveredBeforeAreDropped) {
+TEST(EventSplitterTest, DropsDeliveredTokens) {
   EventSplitter splitter(2);
   EXPECT_EQ(splitter.feed(event(1) + event(2) + event(3)), SplitStatus::kOk);
   EXPECT_EQ(splitter.events(), event(3));
 }
 
-TEST(EventSplitterTest, AGapBreaksTheStream) {
+TEST(EventSplitterTest, TokenGapIsAnError) {
   EventSplitter splitter(0);
   EXPECT_EQ(splitter.feed(event(2)), SplitStatus::kGap);
 }
 
-TEST(EventSplitterTest, AnEventWithoutANumberIsMalformed) {
+TEST(EventSplitterTest, EventWithoutIdIsMalformed) {
   EventSplitter splitter(0);
   EXPECT_EQ(splitter.feed("data: x\n\n"), SplitStatus::kMalformed);
 }
--- a/tests/net/http_client_pool_test.cc
+++ b/tests/net/http_client_pool_test.cc
@@ -16,8 +16,8 @@
 constexpr Duration kCallTime = std::chrono::milliseconds(400);
 constexpr Duration kPieceInterval = std::chrono::milliseconds(20);
 
-/// Answers `/short` at once, `/slow` with a byte now and then for longer than a call lasts,
-/// `/halting` with the first bytes only, and `/silent` not at all.
+/// Server that answers `/short` immediately, `/slow` one byte at a time for longer than the timeout
+/// of a request, `/halting` with the first bytes only, and `/silent` never.
 class SlowPeer {
  public:
   explicit SlowPeer(asio::io_context& loop)
@@ -86,7 +86,7 @@
     call.timeout = kCallTime;
     co_return co_await client.call(std::move(call));
   }
-  /// Leaves two idle connections.
+  /// Leaves two idle connections in the pool.
   void connect_twice() {
     int answered = 0;
     for (int i = 0; i < 2; ++i) {
@@ -105,24 +105,25 @@
   HttpClient client{loop.get_executor(), LoopThreads::kOne};
 };
 
-/// A large read over a narrow link that was late while its bytes still came closed all idle
-/// connections to the store: each call after it paid for a new one, on the same full link. A peer
-/// whose bytes came until the end was not silent.
-TEST_F(HttpClientPoolTest, AnAnswerThatIsLateWhileItsBytesComeLeavesTheIdleConnections) {
+/// Guards against dropping live pooled connections. A large read over a slow link timed out while
+/// its bytes were still arriving, and the client then closed all idle connections to the store:
+/// each following call paid for a new connection on the same saturated link. A peer that sends
+/// bytes until the timeout is alive.
+TEST_F(HttpClientPoolTest, TimeoutDuringTransferKeepsIdleConnections) {
   connect_twice();
   EXPECT_EQ(run_awaitable(loop, call("/slow")).progress, HttpProgress::kSent);
   EXPECT_TRUE(run_awaitable(loop, call("/short")).ok());
   EXPECT_EQ(peer.connections, 2);
 }
 
-TEST_F(HttpClientPoolTest, AfterASilenceTheIdleConnectionsAreGivenUp) {
+TEST_F(HttpClientPoolTest, TimeoutWithoutResponseDropsIdleConnections) {
   connect_twice();
   EXPECT_EQ(run_awaitable(loop, call("/silent")).progress, HttpProgress::kSent);
   EXPECT_TRUE(run_awaitable(loop, call("/short")).ok());
   EXPECT_EQ(peer.connections, 3);
 }
 
-TEST_F(HttpClientPoolTest, APeerThatFellSilentWithinAnAnswerIsSilentToo) {
+TEST_F(HttpClientPoolTest, TimeoutAfterStalledResponseDropsIdleConnections) {
   connect_twice();
   EXPECT_EQ(run_awaitable(loop, call("/halting")).progress, HttpProgress::kSent);
   EXPECT_TRUE(run_awaitable(loop, call("/short")).ok());
--- a/tests/net/http_server_bounds_test.cc
+++ b/tests/net/http_server_bounds_test.cc
@@ -1,4 +1,4 @@
-// A server on a thread of its own, and callers that send and read in their own time.
+// Runs a server on a thread of its own; the clients control when they send and read.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -18,18 +18,18 @@
 using Tcp = asio::ip::tcp;
 
 constexpr std::size_t kMegabyte = 1024UL * 1024;
-/// Marks: bodies up to 3 MB, answers up to 3.4 MB.
+/// Total budget. Its account limits allow 3 MB of bodies and 3.4 MB of responses.
 constexpr std::uint64_t kBudget = 4 * kMegabyte;
 constexpr const char* kNotRun = R"("execution":"not_run")";
 
-/// After it a connection without a request may be closed for another.
-constexpr Duration kIdle = std::chrono::milliseconds(1100);
+/// After this time a connection without a request may be closed for another one.
+constexpr Duration kIdleThreshold = std::chrono::milliseconds(1100);
 
-/// A caller with a small receive buffer: what it doesn't read stays at the server.
-class RawCaller {
+/// A client with a small receive buffer: what it does not read stays buffered at the server.
+class RawClient {
  public:
-  /// @param from address of the caller.
-  explicit RawCaller(const std::string& address, const std::string& from = "127.0.0.1")
+  /// @param from local address of the client.
+  explicit RawClient(const std::string& address, const std::string& from = "127.0.0.1")
       : socket_(loop_) {
     Tcp::endpoint endpoint;
     EXPECT_TRUE(parse_endpoint(address, endpoint));
@@ -40,7 +40,7 @@
     socket_.connect(endpoint);
   }
 
-  /// Sends what the server takes. @return whether it has taken all.
+  /// Sends bytes. @return whether the server accepted all of them.
   bool send(const std::string& bytes) {
     boost::system::error_code error;
     asio::write(socket_, asio::buffer(bytes), error);
@@ -53,7 +53,7 @@
     send_head(target, "Content-Length: " + std::to_string(body_bytes) + "\r\n");
     send(std::string(body_bytes, 'b'));
   }
-  /// Reads until `end` has come, or the connection is closed.
+  /// Reads until `end` was received or the connection is closed.
   std::string read_until(const std::string& end) {
     std::array<char, 4096> bytes{};
     while (!text_.ends_with(end)) {
@@ -68,7 +68,7 @@
     return std::exchange(text_, {});
   }
   std::string read_all() { return read_until("\xff"); }
-  /// How the connection ended.
+  /// Returns the error that ended the connection.
   [[nodiscard]] boost::system::error_code end() const { return end_; }
 
  private:
@@ -78,13 +78,13 @@
   boost::system::error_code end_;
 };
 
-class HttpServerBoundsTest : public testing::Test {
+class HttpServerResourceLimitsTest : public testing::Test {
  protected:
-  HttpServerBoundsTest()
+  HttpServerResourceLimitsTest()
       : server_(
             loop_.get_executor(), "127.0.0.1:0", HttpLimits{},
             [this](HttpExchange& exchange) { return handle(exchange); }, LoopThreads::kOne) {}
-  ~HttpServerBoundsTest() override {
+  ~HttpServerResourceLimitsTest() override {
     server_.stop();
     loop_.stop();
     if (thread_.joinable()) thread_.join();
@@ -92,15 +92,15 @@
 
   void start(std::uint64_t budget, std::size_t most_connections = 0) {
     budget_.set_limit(budget);
-    server_.set_bounds({&budget_, most_connections, [this](const Shortage& shortage) {
+    server_.set_bounds({&budget_, most_connections, [this](const Shortage& event) {
                           const std::scoped_lock lock(mutex_);
-                          acts_.push_back(shortage.act);
+                          actions_.push_back(event.act);
                         }});
     server_.start();
     thread_ = std::thread([this] { loop_.run(); });
   }
 
-  /// `/held` answers once `open_` is set, `/long` writes an answer of 1 MB ahead.
+  /// `/held` responds once `open_` is set, `/long` writes a response of 1 MB ahead.
   asio::awaitable<void> handle(HttpExchange& exchange) {
     ++handled_;
     Timer timer(exchange.executor());
@@ -117,7 +117,7 @@
   }
 
   asio::awaitable<void> answer_long(HttpExchange& exchange) {
-    exchange.watch_disconnect([this] { told_gone_ = true; });
+    exchange.watch_disconnect([this] { client_gone_ = true; });
     bool sent = co_await exchange.start_stream("text/plain");
     for (int piece = 0; sent && piece < kPieces; ++piece) {
       const std::string bytes = piece_text(piece);
@@ -125,7 +125,7 @@
     }
     written_.set_value(sent);
     const bool delivered = co_await exchange.finish_stream();
-    if (!delivered) told_gone_ = true;
+    if (!delivered) client_gone_ = true;
   }
 
   static constexpr int kPieces = 90;
@@ -136,7 +136,7 @@
   }
   [[nodiscard]] std::size_t count(ShortageAct act) {
     const std::scoped_lock lock(mutex_);
-    return static_cast<std::size_t>(std::count(acts_.begin(), acts_.end(), act));
+    return static_cast<std::size_t>(std::count(actions_.begin(), actions_.end(), act));
   }
 
   MemoryBudget budget_;
@@ -144,167 +144,167 @@
   HttpServer server_;
   std::thread thread_;
   std::atomic<int> handled_{0};
-  std::atomic<bool> told_gone_{false};  ///< The handler of a long answer knows that its caller is.
+  std::atomic<bool> client_gone_{false};  ///< Set when the handler detects the disconnect.
   std::atomic<bool> open_{false};
   std::promise<bool> written_;
   std::mutex mutex_;
-  std::vector<ShortageAct> acts_;
+  std::vector<ShortageAct> actions_;
 };
 
-// The caller sends on while it is refused, and reads its answer only then.
-TEST_F(HttpServerBoundsTest, ABodyThatNeverFitsIsRefusedBeforeItIsRead) {
+// The client keeps sending while it is rejected, and reads the response only afterwards.
+TEST_F(HttpServerResourceLimitsTest, RejectsBodyThatNeverFitsBeforeReading) {
   start(kBudget);
-  RawCaller caller(server_.address());
-  caller.send_head("/", "Content-Length: 3000000\r\n");
-  EXPECT_TRUE(caller.send(std::string(3000000, 'b')));
-  const std::string answer = caller.read_all();
+  RawClient client(server_.address());
+  client.send_head("/", "Content-Length: 3000000\r\n");
+  EXPECT_TRUE(client.send(std::string(3000000, 'b')));
+  const std::string answer = client.read_all();
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 413")) << answer;
   EXPECT_NE(answer.find(kNotRun), std::string::npos) << answer;
-  EXPECT_EQ(caller.end(), asio::error::eof);
+  EXPECT_EQ(client.end(), asio::error::eof);
   EXPECT_EQ(handled_, 0);
   EXPECT_EQ(count(ShortageAct::kBodyRefused), 1U);
 }
 
-TEST_F(HttpServerBoundsTest, ABodyThatDoesNotFitNowIsToldToComeBack) {
+TEST_F(HttpServerResourceLimitsTest, BodyWithoutFreeMemoryGetsRetryAfter) {
   start(kBudget);
-  RawCaller first(server_.address());
+  RawClient first(server_.address());
   first.send_request("/held", kMegabyte);
   while (handled_ == 0) std::this_thread::yield();
-  RawCaller second(server_.address());
+  RawClient second(server_.address());
   second.send_request("/", kMegabyte);
   const std::string answer = second.read_all();
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 503")) << answer;
   EXPECT_NE(answer.find("Retry-After: "), std::string::npos) << answer;
   EXPECT_NE(answer.find(kNotRun), std::string::npos) << answer;
   EXPECT_EQ(handled_, 1);
-  // The room that the first one takes is given back with its request.
+  // The memory of the first body is released with its request.
   open_ = true;
   EXPECT_TRUE(first.read_until(";").ends_with("1048576;"));
-  RawCaller third(server_.address());
+  RawClient third(server_.address());
   third.send_request("/", kMegabyte);
   EXPECT_TRUE(third.read_until(";").ends_with("1048576;"));
 }
 
-TEST_F(HttpServerBoundsTest, ABodyInChunksIsBoundedAsItGrows) {
+TEST_F(HttpServerResourceLimitsTest, LimitsChunkedBodyAsItGrows) {
   start(kBudget);
-  RawCaller caller(server_.address());
-  caller.send_head("/", "Transfer-Encoding: chunked\r\n");
+  RawClient client(server_.address());
+  client.send_head("/", "Transfer-Encoding: chunked\r\n");
   const std::string chunk = "10000\r\n" + std::string(0x10000, 'b') + "\r\n";
-  for (int sent = 0; sent < 64; ++sent) caller.send(chunk);
-  const std::string answer = caller.read_all();
+  for (int sent = 0; sent < 64; ++sent) client.send(chunk);
+  const std::string answer = client.read_all();
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 413")) << answer;
   EXPECT_EQ(handled_, 0);
-  RawCaller small(server_.address());
+  RawClient small(server_.address());
   small.send_head("/", "Transfer-Encoding: chunked\r\n");
   small.send(chunk + chunk + "0\r\n\r\n");
   EXPECT_TRUE(small.read_until(";").ends_with("131072;"));
 }
 
-// A body in chunks was refused as larger than the node can hold once twice its present size did not
-// fit: with room for 3 MB, and so for two copies of 1.4 MB and of the next read, 1.4 MB got 413 or
-// 503. Room was asked for by doubling only; now what the next read needs is enough.
-TEST_F(HttpServerBoundsTest, ABodyInChunksThatFitsIsServedThoughTwiceItsSizeWouldNotFit) {
+// Guards against rejecting a chunked body that fits. Memory was reserved only by doubling, so with
+// 3 MB, which hold two copies of 1.4 MB and of the next read, a body of 1.4 MB got 413 or 503. What
+// the next read needs must be enough.
+TEST_F(HttpServerResourceLimitsTest, ServesChunkedBodyWhoseDoubleWouldNotFit) {
   start(kBudget);
-  RawCaller caller(server_.address());
-  caller.send_head("/", "Transfer-Encoding: chunked\r\n");
+  RawClient client(server_.address());
+  client.send_head("/", "Transfer-Encoding: chunked\r\n");
   const std::string chunk = "10000\r\n" + std::string(0x10000, 'b') + "\r\n";
-  for (int sent = 0; sent < 22; ++sent) caller.send(chunk);
-  caller.send("c350\r\n" + std::string(50000, 'b') + "\r\n0\r\n\r\n");
-  const std::string answer = caller.read_until(";");
+  for (int sent = 0; sent < 22; ++sent) client.send(chunk);
+  client.send("c350\r\n" + std::string(50000, 'b') + "\r\n0\r\n\r\n");
+  const std::string answer = client.read_until(";");
   EXPECT_TRUE(answer.ends_with("1491792;")) << answer;
 }
 
-// A caller was told to come back with a body that never fits: its own connection (16 kB) was left
-// out of the comparison. In 3,145,725 bytes of room, two copies of 1,568,000 bytes fit alone, but
-// not beside the connection that brings them.
-TEST_F(HttpServerBoundsTest, ABodyThatDoesNotFitBesideItsOwnConnectionNeverFits) {
+// Guards against telling a client to retry with a body that can never fit, because the memory of
+// its own connection (16 kB) was left out of the comparison. In 3,145,725 bytes, two copies of
+// 1,568,000 bytes fit alone, but not together with their connection.
+TEST_F(HttpServerResourceLimitsTest, BodyLimitIncludesItsConnection) {
   start(kBudget);
-  RawCaller caller(server_.address());
-  caller.send_head("/", "Content-Length: 1568000\r\n");
-  const std::string answer = caller.read_all();
+  RawClient client(server_.address());
+  client.send_head("/", "Content-Length: 1568000\r\n");
+  const std::string answer = client.read_all();
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 413")) << answer;
   EXPECT_EQ(handled_, 0);
 }
 
-TEST_F(HttpServerBoundsTest, ABodyThatTricklesGivesItsRoomToOthers) {
+TEST_F(HttpServerResourceLimitsTest, ReclaimsSlowBody) {
   start(kBudget);
-  RawCaller slow(server_.address());
+  RawClient slow(server_.address());
   slow.send_head("/", "Content-Length: 1048576\r\n");
-  RawCaller other(server_.address());
-  // Its room is taken until then; afterwards it is the one without progress.
+  RawClient other(server_.address());
+  // The slow body keeps its memory until the stall threshold; then it is the one to be reclaimed.
   std::string answer;
-  const TimePoint end = monotonic_now() + 10 * kStallTime;
+  const TimePoint end = monotonic_now() + 10 * kStallThreshold;
   while (!answer.starts_with("HTTP/1.1 200") && monotonic_now() < end) {
     slow.send("b");
-    RawCaller caller(server_.address());
-    caller.send_request("/", kMegabyte);
-    answer = caller.read_until(";");
+    RawClient client(server_.address());
+    client.send_request("/", kMegabyte);
+    answer = client.read_until(";");
     EXPECT_TRUE(answer.starts_with("HTTP/1.1 200") || answer.starts_with("HTTP/1.1 503"));
   }
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 200")) << answer;
-  const std::string refusal = slow.read_all();
-  EXPECT_TRUE(refusal.starts_with("HTTP/1.1 503")) << refusal;
-  EXPECT_NE(refusal.find(kNotRun), std::string::npos) << refusal;
+  const std::string rejection = slow.read_all();
+  EXPECT_TRUE(rejection.starts_with("HTTP/1.1 503")) << rejection;
+  EXPECT_NE(rejection.find(kNotRun), std::string::npos) << rejection;
   EXPECT_EQ(count(ShortageAct::kBodyCutOff), 1U);
 }
 
-TEST_F(HttpServerBoundsTest, AnAnswerIsReadAheadForACallerThatDoesNotRead) {
+TEST_F(HttpServerResourceLimitsTest, ReadsResponseAheadForStalledClient) {
   start(kBudget);
-  RawCaller caller(server_.address());
-  caller.send_request("/long", 1);
-  // All is written though nothing has been read.
+  RawClient client(server_.address());
+  client.send_request("/long", 1);
+  // The whole response is written although nothing has been read.
   EXPECT_TRUE(written_.get_future().get());
   std::string expected;
   for (int piece = 0; piece < kPieces; ++piece) {
     expected += "2710\r\n" + piece_text(piece) + "\r\n";
   }
-  const std::string answer = caller.read_until("\r\n0\r\n\r\n");
+  const std::string answer = client.read_until("\r\n0\r\n\r\n");
   EXPECT_EQ(answer.substr(answer.find("\r\n\r\n") + 4), expected + "0\r\n\r\n");
-  EXPECT_TRUE(acts_.empty());
+  EXPECT_TRUE(actions_.empty());
 }
 
-TEST_F(HttpServerBoundsTest, ACallerThatTakesNothingGivesItsRoomToOthers) {
+TEST_F(HttpServerResourceLimitsTest, ReclaimsResponseOfStalledClient) {
   start(kBudget);
-  RawCaller slow(server_.address());
+  RawClient slow(server_.address());
   slow.send_request("/long", 1);
   EXPECT_TRUE(written_.get_future().get());
   std::string answer;
-  const TimePoint end = monotonic_now() + 10 * kStallTime;
+  const TimePoint end = monotonic_now() + 10 * kStallThreshold;
   while (!answer.starts_with("HTTP/1.1 200") && monotonic_now() < end) {
-    RawCaller other(server_.address());
+    RawClient other(server_.address());
     other.send_request("/", kMegabyte + kMegabyte / 4);
     answer = other.read_until(";");
   }
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 200")) << answer;
-  const std::string broken = slow.read_until("\r\n0\r\n\r\n");
-  EXPECT_FALSE(broken.ends_with("\r\n0\r\n\r\n"));
+  const std::string truncated = slow.read_until("\r\n0\r\n\r\n");
+  EXPECT_FALSE(truncated.ends_with("\r\n0\r\n\r\n"));
   EXPECT_EQ(slow.end(), asio::error::connection_reset);
-  while (!told_gone_ && monotonic_now() < end) std::this_thread::yield();
-  EXPECT_TRUE(told_gone_);
+  while (!client_gone_ && monotonic_now() < end) std::this_thread::yield();
+  EXPECT_TRUE(client_gone_);
   EXPECT_EQ(count(ShortageAct::kAnswerCutOff), 1U);
 }
 
-TEST_F(HttpServerBoundsTest, TheConnectionThatIsIdleForLongestGoesForANewOne) {
+TEST_F(HttpServerResourceLimitsTest, EvictsLongestIdleConnectionAtLimit) {
   start(kBudget, 2);
-  RawCaller first(server_.address());
+  RawClient first(server_.address());
   first.send_request("/", 1);
   EXPECT_TRUE(first.read_until(";").ends_with("1;"));
-  RawCaller second(server_.address());
+  RawClient second(server_.address());
   second.send_request("/held", 2);
   while (handled_ < 2) std::this_thread::yield();
-  // A connection that is new is not taken for an idle one.
+  // A new connection does not count as idle.
   std::this_thread::sleep_for(std::chrono::milliseconds(1100));
-  RawCaller third(server_.address());
+  RawClient third(server_.address());
   third.send_request("/held", 3);
   while (handled_ < 3) std::this_thread::yield();
   EXPECT_EQ(first.read_all(), "");
   EXPECT_EQ(first.end(), asio::error::eof);
-  // None is idle now: the new one is told to come back, and nobody is closed for it.
-  RawCaller fourth(server_.address());
+  // No connection is idle now: the new one is answered with 503, and no other is closed.
+  RawClient fourth(server_.address());
   fourth.send_request("/", 4);
-  const std::string refusal = fourth.read_all();
-  EXPECT_TRUE(refusal.starts_with("HTTP/1.1 503")) << refusal;
-  EXPECT_NE(refusal.find(kNotRun), std::string::npos) << refusal;
+  const std::string rejection = fourth.read_all();
+  EXPECT_TRUE(rejection.starts_with("HTTP/1.1 503")) << rejection;
+  EXPECT_NE(rejection.find(kNotRun), std::string::npos) << rejection;
   open_ = true;
   EXPECT_TRUE(second.read_until(";").ends_with("2;"));
   EXPECT_TRUE(third.read_until(";").ends_with("3;"));
@@ -312,54 +312,55 @@
   EXPECT_EQ(count(ShortageAct::kConnectionRefused), 1U);
 }
 
-// The connection that had been idle for longest was closed for a new one, whoever held it: so a
-// caller with many connections pushed out those of callers that hold one each.
-TEST_F(HttpServerBoundsTest, OfIdleConnectionsThoseOfWhoHoldsMostGoFirst) {
+// Guards against closing the longest idle connection regardless of its owner: a client with many
+// connections then displaced those of clients with one each.
+TEST_F(HttpServerResourceLimitsTest, EvictsIdleConnectionOfLargestClientFirst) {
   start(kBudget, 4);
-  RawCaller single(server_.address(), "127.0.0.2");
+  RawClient single(server_.address(), "127.0.0.2");
   single.send_request("/", 1);
   EXPECT_TRUE(single.read_until(";").ends_with("1;"));
-  std::list<RawCaller> many;
+  std::list<RawClient> many;
   for (int i = 0; i < 3; ++i) {
     many.emplace_back(server_.address()).send_request("/", 2);
     EXPECT_TRUE(many.back().read_until(";").ends_with("2;"));
   }
-  std::this_thread::sleep_for(kIdle);
-  RawCaller other(server_.address(), "127.0.0.3");
+  std::this_thread::sleep_for(kIdleThreshold);
+  RawClient other(server_.address(), "127.0.0.3");
   other.send_request("/", 3);
   EXPECT_TRUE(other.read_until(";").ends_with("3;"));
   single.send_request("/", 5);
   ASSERT_TRUE(single.read_until(";").ends_with("5;"));
   EXPECT_EQ(many.front().read_all(), "");
-  // One more of whoever holds most is at nobody else's cost.
+  // Another connection of the client with the most connections displaces one of its own.
   many.emplace_back(server_.address()).send_request("/", 4);
   EXPECT_TRUE(many.back().read_until(";").ends_with("4;"));
   EXPECT_EQ(count(ShortageAct::kIdleClosed), 2U);
 }
 
-// Connections whose heads came by the byte were neither idle nor held bytes: at the bound everybody
-// else was refused until their time for a head was over.
-TEST_F(HttpServerBoundsTest, HeadsThatTrickleGiveTheirConnectionsToOthers) {
+// Guards against slow request heads that occupy all connections. Connections whose heads arrived
+// byte by byte counted neither as idle nor as holding bytes: at the limit all other clients were
+// refused until the header timeout.
+TEST_F(HttpServerResourceLimitsTest, EvictsConnectionsWithSlowHeads) {
   start(kBudget, 3);
-  std::list<RawCaller> trickling;
+  std::list<RawClient> trickling;
   for (int i = 0; i < 3; ++i) {
     EXPECT_TRUE(trickling.emplace_back(server_.address()).send("POST / HT"));
   }
-  std::this_thread::sleep_for(kIdle);
+  std::this_thread::sleep_for(kIdleThreshold);
   EXPECT_TRUE(trickling.front().send("T"));
-  RawCaller other(server_.address(), "127.0.0.2");
+  RawClient other(server_.address(), "127.0.0.2");
   other.send_request("/", 1);
   ASSERT_TRUE(other.read_until(";").ends_with("1;"));
   EXPECT_EQ(trickling.front().read_all(), "");
   EXPECT_EQ(handled_, 1);
 }
 
-TEST_F(HttpServerBoundsTest, WithoutALimitNothingIsRefused) {
+TEST_F(HttpServerResourceLimitsTest, NoLimitRejectsNothing) {
   start(0);
-  RawCaller caller(server_.address());
-  caller.send_request("/", 6 * kMegabyte);
-  EXPECT_TRUE(caller.read_until(";").ends_with("6291456;"));
-  EXPECT_TRUE(acts_.empty());
+  RawClient client(server_.address());
+  client.send_request("/", 6 * kMegabyte);
+  EXPECT_TRUE(client.read_until(";").ends_with("6291456;"));
+  EXPECT_TRUE(actions_.empty());
 }
 
 }  // namespace
--- a/tests/net/platform_clients_test.cc
+++ b/tests/net/platform_clients_test.cc
@@ -7,7 +7,7 @@
 namespace stoathold {
 namespace {
 
-TEST(LogFramingTest, EntriesSurviveAndTruncationsAreRefused) {
+TEST(LogFramingTest, RoundTripsEntriesAndRejectsTruncation) {
   const std::vector<LogEntry> entries{{Offset{1}, "one"}, {Offset{2}, std::string("\0two", 4)}};
   const std::string body = frame_entries(entries);
   std::vector<LogEntry> parsed;
@@ -21,7 +21,7 @@
   }
 }
 
-TEST(LogFramingTest, RandomBytesNeverCrash) {
+TEST(LogFramingTest, RandomBytesDoNotCrash) {
   Random random(5);
   for (int round = 0; round < 5000; ++round) {
     std::string bytes(random.below(100), '\0');
@@ -31,7 +31,7 @@
   }
 }
 
-TEST(MachineListTest, NodesAndRunnersAreTold) {
+TEST(MachineListTest, ParsesNodesAndRunners) {
   MachineList list;
   ASSERT_TRUE(parse_machine_list(
       R"({"machines":[{"role":"node","name":"n","zone":"z","address":"127.0.0.1:1"},
@@ -43,7 +43,7 @@
   EXPECT_TRUE(list.runners[0].leaving);
 }
 
-TEST(MachineListTest, AListThatIsNotOneIsRefused) {
+TEST(MachineListTest, RejectsMalformedList) {
   MachineList list;
   for (const char* body : {"", "[]", "{}", R"({"machines":[1]})", R"({"machines":[{}]})"}) {
     EXPECT_FALSE(parse_machine_list(body, list)) << body;
