--- a/src/base/bounded_log_writer.cc
+++ b/src/base/bounded_log_writer.cc
@@ -9,20 +9,20 @@
 
 struct BoundedLogWriter::State {
   Write write;
-  LogWriterBounds bounds;
-  /// Guards what follows; nothing else is locked while it is held.
+  LogWriterLimits limits;
+  /// Guards the members below. No other mutex is locked while it is held.
   std::mutex mutex;
   std::condition_variable changed;
-  std::string waiting;
+  std::string queued;
   bool writing = false;
-  bool hurry = false;  ///< Set by an urgent line and by a flush.
+  bool flush_requested = false;  ///< Ends the batch interval early.
   bool stopped = false;
 };
 
-BoundedLogWriter::BoundedLogWriter(Write write, LogWriterBounds bounds)
+BoundedLogWriter::BoundedLogWriter(Write write, LogWriterLimits limits)
     : state_(std::make_shared<State>()) {
   state_->write = std::move(write);
-  state_->bounds = bounds;
+  state_->limits = limits;
   std::thread([state = state_] { write_forever(state); }).detach();
 }
 
@@ -35,33 +35,33 @@
 bool BoundedLogWriter::add(std::string_view line, bool urgent) {
   State& state = *state_;
   const std::scoped_lock lock(state.mutex);
-  if (state.waiting.size() + line.size() >= state.bounds.waiting_bytes) return false;
-  const bool first = state.waiting.empty();
-  const bool first_urgent = urgent && !state.hurry;
-  state.waiting.append(line).push_back('\n');
-  state.hurry = state.hurry || urgent;
+  if (state.queued.size() + line.size() >= state.limits.max_queued_bytes) return false;
+  const bool first = state.queued.empty();
+  const bool first_urgent = urgent && !state.flush_requested;
+  state.queued.append(line).push_back('\n');
+  state.flush_requested = state.flush_requested || urgent;
   if (first || first_urgent) state.changed.notify_all();
   return true;
 }
 
-bool BoundedLogWriter::flush(Duration limit) {
+bool BoundedLogWriter::flush(Duration timeout) {
   State& state = *state_;
   std::unique_lock lock(state.mutex);
-  state.hurry = true;
+  state.flush_requested = true;
   state.changed.notify_all();
-  return state.changed.wait_for(lock, limit,
-                                [&] { return state.waiting.empty() && !state.writing; });
+  return state.changed.wait_for(lock, timeout,
+                                [&] { return state.queued.empty() && !state.writing; });
 }
 
 void BoundedLogWriter::write_forever(const std::shared_ptr<State>& state) {
   std::unique_lock lock(state->mutex);
   while (true) {
-    state->changed.wait(lock, [&] { return state->stopped || !state->waiting.empty(); });
-    state->changed.wait_for(lock, state->bounds.gather_time,
-                            [&] { return state->stopped || state->hurry; });
+    state->changed.wait(lock, [&] { return state->stopped || !state->queued.empty(); });
+    state->changed.wait_for(lock, state->limits.batch_interval,
+                            [&] { return state->stopped || state->flush_requested; });
     if (state->stopped) return;
-    const std::string lines = std::exchange(state->waiting, {});
-    state->hurry = false;
+    const std::string lines = std::exchange(state->queued, {});
+    state->flush_requested = false;
     state->writing = true;
     lock.unlock();
     state->write(lines);
--- a/src/base/bounded_log_writer.h
+++ b/src/base/bounded_log_writer.h
@@ -1,5 +1,5 @@
 /// @file
-/// Hands log lines to a thread that writes them, so that nobody who logs ever waits.
+/// Passes log lines to a writer thread, so that logging never blocks its caller.
 #pragma once
 
 #include <cstddef>
@@ -12,33 +12,34 @@
 
 namespace stoathold {
 
-/// Bounds of a log writer.
-struct LogWriterBounds {
-  /// Bytes that may wait to be written.
-  std::size_t waiting_bytes = 1024UL * 1024;
-  /// Lines that come within this time of the first are written with it, unless one is urgent. Each
-  /// write wakes the thread twice; what a killed process has not written is lost.
-  Duration gather_time = std::chrono::milliseconds(250);
+/// Limits of a log writer.
+struct LogWriterLimits {
+  /// Maximum number of bytes that may wait to be written.
+  std::size_t max_queued_bytes = 1024UL * 1024;
+  /// Lines that arrive within this time after the first one are written together with it, unless
+  /// one of them is urgent. Each write wakes the thread twice; a process that is killed loses the
+  /// lines that it has not written.
+  Duration batch_interval = std::chrono::milliseconds(250);
 };
 
-/// Keeps lines in a bounded buffer and writes those of a short time together. Any thread may add.
+/// Queues lines in a bounded buffer and writes them in batches. Any thread may add lines.
 class BoundedLogWriter {
  public:
-  /// Writes whole lines; may block for as long as it likes.
+  /// Writes complete lines; may block indefinitely.
   using Write = std::function<void(const std::string& lines)>;
 
-  explicit BoundedLogWriter(Write write, LogWriterBounds bounds = {});
-  /// Does not wait for the thread, which ends after the write that it is in.
+  explicit BoundedLogWriter(Write write, LogWriterLimits limits = {});
+  /// Does not wait for the writer thread, which ends after its current write.
   ~BoundedLogWriter();
   BoundedLogWriter(const BoundedLogWriter&) = delete;
   BoundedLogWriter& operator=(const BoundedLogWriter&) = delete;
 
-  /// Takes a line, without its end.
-  /// @return false if it does not fit and is left out.
+  /// Queues a line, given without its line break.
+  /// @return false if it does not fit; it is then dropped.
   bool add(std::string_view line, bool urgent);
-  /// Waits until all lines taken so far are written.
-  /// @return false if they were not in time.
-  bool flush(Duration limit);
+  /// Waits until all lines queued so far are written.
+  /// @return false if `timeout` has passed before.
+  bool flush(Duration timeout);
 
  private:
   struct State;
--- a/src/base/decaying_count.h
+++ b/src/base/decaying_count.h
@@ -1,5 +1,5 @@
 /// @file
-/// A count of what happened lately.
+/// An exponentially decaying counter.
 #pragma once
 
 #include <cmath>
@@ -8,12 +8,12 @@
 
 namespace stoathold {
 
-/// Falls to 1/e of itself in a fixed time, again and again, so that it follows what comes and
-/// forgets what came long ago. Not thread safe.
+/// A counter that decays to 1/e within a fixed time, so that recent counts dominate its value. Not
+/// thread safe.
 class DecayingCount {
  public:
-  /// @param memory time in which the count falls to 1/e.
-  explicit DecayingCount(Duration memory) : memory_(memory) {}
+  /// @param time_constant time in which the count decays to 1/e.
+  explicit DecayingCount(Duration time_constant) : time_constant_(time_constant) {}
 
   void add(double count, TimePoint now) {
     count_ = value(now) + count;
@@ -26,11 +26,11 @@
   }
   [[nodiscard]] double value(TimePoint now) const {
     if (count_ == 0) return 0;
-    return count_ * std::exp(-to_seconds(now - updated_) / to_seconds(memory_));
+    return count_ * std::exp(-to_seconds(now - updated_) / to_seconds(time_constant_));
   }
 
  private:
-  Duration memory_;
+  Duration time_constant_;
   double count_ = 0;
   TimePoint updated_{};
 };
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,5 +1,5 @@
 /// @file
-/// Errors as values: a code, the step at which it arose and the peer it arose with.
+/// Errors as values: a code, the processing step and the peer involved.
 #pragma once
 
 #include <cstdint>
@@ -39,20 +39,20 @@
 
 /// Category of `ErrorCode` for `std::error_code`.
 const std::error_category& stoathold_category();
-/// Makes a standard error code; found by argument-dependent look-up.
+/// Makes a standard error code; found by argument-dependent lookup.
 std::error_code make_error_code(ErrorCode code);
 
 /// Whether the work behind an error was executed.
 enum class Execution : std::uint8_t {
-  kNotRun,   ///< Known not to have run; repeating it is safe.
+  kNotRun,   ///< Known not to have run; a retry is safe.
   kRan,      ///< Known to have run.
   kUnknown,  ///< May have run, or may still run.
 };
 
-/// Returns `not_run`, `ran` or `unknown`, as written in refusals.
+/// Returns `not_run`, `ran` or `unknown`, as written in error responses.
 std::string_view to_string(Execution execution);
 
-/// The step of processing at which an error arose.
+/// The processing step at which an error occurred.
 enum class Step : std::uint8_t {
   kParse,
   kAdmit,
@@ -66,17 +66,17 @@
   kForward,
 };
 
-/// Returns the step's name as written in refusals and logs.
+/// Returns the name of the step, as written in error responses and logs.
 std::string_view to_string(Step step);
 
-/// An error with its context. `peer` names the process it arose with; empty for this one.
+/// An error with its context. `peer` names the process that it involves; empty for this process.
 struct Error {
   std::error_code code;
   Step step = Step::kParse;
   std::string peer;
   std::string message;
   Execution execution = Execution::kNotRun;
-  Duration retry_after{0};  ///< When the caller may come back; 0 means that it need not.
+  Duration retry_after{0};  ///< Delay before the caller may retry; 0: no retry is expected.
 };
 
 }  // namespace stoathold
--- a/src/base/event_log.cc
+++ b/src/base/event_log.cc
@@ -31,13 +31,13 @@
 
 struct EventSink {
   LogFormat format = LogFormat::kText;
-  EventLevel least = EventLevel::kInfo;
+  EventLevel min_level = EventLevel::kInfo;
   bool started = false;
-  BoundedLogWriter* bounded = nullptr;  ///< Null: lines are written at once.
+  BoundedLogWriter* bounded = nullptr;  ///< Null: lines are written immediately.
   std::string node;
 };
 
-std::atomic<std::uint64_t>& left_out_total() {
+std::atomic<std::uint64_t>& dropped_total() {
   static std::atomic<std::uint64_t> total{0};
   return total;
 }
@@ -57,7 +57,7 @@
   return instance;
 }
 
-const EventEntry& entry_of(Event event) {
+const EventEntry& find_entry(Event event) {
   const auto catalogue = event_catalogue();
   const auto found =
       std::find_if(catalogue.begin(), catalogue.end(),
@@ -74,34 +74,35 @@
   return line;
 }
 
-/// Returns the time of day in UTC, in microseconds.
+/// Returns the current UTC time with microseconds, in ISO 8601.
 std::string format_time() {
   return boost::posix_time::to_iso_extended_string(
              boost::posix_time::microsec_clock::universal_time()) +
          "Z";
 }
 
-/// Whether a text stands in JSON as it is.
-bool is_plain(std::string_view text) {
-  return std::all_of(text.begin(), text.end(), [](char letter) {
-    return letter >= ' ' && letter <= '~' && letter != '"' && letter != '\\';
+/// Returns whether a text needs no escaping in JSON.
+bool needs_no_escaping(std::string_view text) {
+  return std::all_of(text.begin(), text.end(), [](char character) {
+    return character >= ' ' && character <= '~' && character != '"' && character != '\\';
   });
 }
 
 void append_text(std::string& line, std::string_view name, std::string_view value) {
   line.append(",\"").append(name).append("\":");
-  if (is_plain(value)) {
+  if (needs_no_escaping(value)) {
     line.append("\"").append(value).append("\"");
   } else {
     line.append(boost::json::serialize(boost::json::string(value)));
   }
 }
 
-/// Returns the fields of a JSON object without its opening brace: the time comes before them.
+/// Returns the members and the closing brace of a JSON object; the caller writes the opening brace
+/// and the time.
 std::string format_json(const EventEntry& entry, std::initializer_list<EventField> fields) {
-  constexpr std::size_t kUsualBytes = 400;
+  constexpr std::size_t kTypicalLineBytes = 400;
   std::string line;
-  line.reserve(kUsualBytes);
+  line.reserve(kTypicalLineBytes);
   line.append("\"event\":").append(std::to_string(static_cast<int>(entry.event)));
   append_text(line, "level", kLevelNames[static_cast<std::size_t>(entry.level)]);
   append_text(line, "name", entry.name);
@@ -120,9 +121,9 @@
   return static_cast<EventLevel>(found - kLevelNames.begin());
 }
 
-void start_event_log(LogFormat format, EventLevel least) {
+void start_event_log(LogFormat format, EventLevel min_level) {
   auto& sink = event_sink();
-  sink = {format, least, true, nullptr, {}};
+  sink = {format, min_level, true, nullptr, {}};
   namespace expressions = logging::expressions;
   logging::core::get()->add_global_attribute("TimeStamp", logging::attributes::utc_clock());
   const auto time =
@@ -139,35 +140,36 @@
   }
 }
 
-void start_bounded_event_log(EventLevel least, const std::string& node) {
-  // Never destroyed: when nobody reads standard output, its thread is stuck in a write.
+void start_bounded_event_log(EventLevel min_level, const std::string& node) {
+  // Never destroyed: if nobody reads standard output, its thread is blocked in a write.
   auto* bounded =
       new BoundedLogWriter([output = LineOutput(STDOUT_FILENO)](const std::string& lines) mutable {
         output.write(lines);
       });
-  event_sink() = {LogFormat::kJson, least, true, bounded, node};
+  event_sink() = {LogFormat::kJson, min_level, true, bounded, node};
 }
 
-bool flush_event_log(Duration limit) {
+bool flush_event_log(Duration timeout) {
   BoundedLogWriter* bounded = event_sink().bounded;
-  return bounded == nullptr || bounded->flush(limit);
+  return bounded == nullptr || bounded->flush(timeout);
 }
 
 std::uint64_t log_lines_left_out() {
-  return left_out_total();
+  return dropped_total();
 }
 
 namespace {
 
-/// Whether a line of a bounded log may be written; says how many were left out before.
+/// Applies the rate limit of a bounded log to a line. Logs how many lines of the event were dropped
+/// in its previous window.
 bool admit_line(const EventEntry& entry) {
   if (entry.event == Event::kLogLinesLeftOut) return true;
   const LineAdmission admission = rate_limiter().admit(entry.event, monotonic_now());
-  if (admission.left_out_before > 0) {
+  if (admission.dropped_before > 0) {
     log_event(Event::kLogLinesLeftOut, {{"of", std::string(entry.name)},
-                                        {"count", std::to_string(admission.left_out_before)}});
+                                        {"count", std::to_string(admission.dropped_before)}});
   }
-  if (!admission.admitted) ++left_out_total();
+  if (!admission.admitted) ++dropped_total();
   return admission.admitted;
 }
 
@@ -175,13 +177,13 @@
 
 void log_event(Event event, std::initializer_list<EventField> fields) {
   const auto& sink = event_sink();
-  const EventEntry& entry = entry_of(event);
-  if (!sink.started || entry.level < sink.least) return;
+  const EventEntry& entry = find_entry(event);
+  if (!sink.started || entry.level < sink.min_level) return;
   if (sink.bounded != nullptr && !admit_line(entry)) return;
   if (sink.bounded != nullptr) {
     const std::string line = "{\"time\":\"" + format_time() + "\"," + format_json(entry, fields);
-    const bool taken = sink.bounded->add(line, entry.level >= EventLevel::kWarning);
-    if (!taken) ++left_out_total();
+    const bool queued = sink.bounded->add(line, entry.level >= EventLevel::kWarning);
+    if (!queued) ++dropped_total();
   } else if (sink.format == LogFormat::kJson) {
     BOOST_LOG_SEV(logger(), entry.level) << format_json(entry, fields);
   } else {
--- a/src/base/event_log.h
+++ b/src/base/event_log.h
@@ -1,5 +1,6 @@
 /// @file
-/// Numbered events: the only way in which programs write logs. docs/EVENTS.md is the catalogue.
+/// Numbered events, the only means by which the programs write logs. docs/EVENTS.md is the
+/// catalogue.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,7 @@
 
 namespace stoathold {
 
-/// Every event that a program may write. Numbers are never reused.
+/// All events that a program may log. Numbers are never reused.
 enum class Event : int {
   kNodeStarted = 1001,
   kNodeReady = 1002,
@@ -95,7 +96,7 @@
   kEmulatorFault = 1902,
 };
 
-/// How much an event matters.
+/// Severity of an event.
 enum class EventLevel : std::uint8_t { kDebug, kInfo, kWarning, kError };
 
 /// One entry of the catalogue.
@@ -106,31 +107,32 @@
   std::string_view meaning;
 };
 
-/// Returns the whole catalogue, ascending by number.
+/// Returns the whole catalogue in ascending order of event numbers.
 std::span<const EventEntry> event_catalogue();
 
-/// A named value of an event.
+/// Name and value of an event's field.
 using EventField = std::pair<std::string_view, std::string>;
 
-/// Form of a log line.
+/// Format of a log line.
 enum class LogFormat : std::uint8_t { kText, kJson };
 
-/// Returns the level of that name; `kInfo` if there is none.
+/// Returns the level with this name; `kInfo` if there is none.
 EventLevel parse_event_level(std::string_view name);
 
-/// Sets up logging to standard error. Called once, at start.
-void start_event_log(LogFormat format, EventLevel least);
-/// Sets up logging to standard output for a process that must never wait for its log: lines go
-/// through a bounded buffer to a thread of their own, and what does not fit is left out and
-/// counted. Each line carries the node's name. Called once, at start.
-void start_bounded_event_log(EventLevel least, const std::string& node);
-/// Waits until the lines written so far are out, for the end of the process.
-/// @return false if they were not out in time: nobody reads them. The thread that writes them is
-/// stuck then, so that the process must end by `std::_Exit`.
-bool flush_event_log(Duration limit);
-/// Lines left out since the start, by the rate of one event or by a full queue.
+/// Starts logging to standard error. Called once, at process start.
+void start_event_log(LogFormat format, EventLevel min_level);
+/// Starts logging to standard output for a process that must never block on its log: lines pass
+/// through a bounded buffer to a writer thread, and lines that do not fit are dropped and counted.
+/// Each line carries the node's name. Called once, at process start.
+void start_bounded_event_log(EventLevel min_level, const std::string& node);
+/// Waits until the lines logged so far are written; for use at process exit.
+/// @return false if `timeout` has passed before because nobody reads the output. The writer thread
+/// is blocked then, so the process must exit with `std::_Exit`.
+bool flush_event_log(Duration timeout);
+/// Returns the number of lines dropped since the start, by the rate limit of an event or because
+/// the buffer was full.
 std::uint64_t log_lines_left_out();
-/// Writes one event. Thread safe.
+/// Logs one event. Thread safe.
 void log_event(Event event, std::initializer_list<EventField> fields);
 
 }  // namespace stoathold
--- a/src/base/event_rate_limiter.cc
+++ b/src/base/event_rate_limiter.cc
@@ -4,17 +4,18 @@
 namespace {
 
 constexpr Duration kWindow = std::chrono::seconds(1);
-/// Lines of one event in a window.
-constexpr std::uint32_t kLinesPerWindow = 200;
-/// What is many at a time and says little by itself: fewer lines of it are kept.
-constexpr std::uint32_t kSuccessLinesPerWindow = 40;
-/// A failed attempt tells again from what its runner was chosen, so of first choices a sample does.
-constexpr std::uint32_t kFirstChoiceLinesPerWindow = 5;
+/// Maximum number of lines of one event in a window.
+constexpr std::uint32_t kMaxLinesPerWindow = 200;
+/// Limit for events that are frequent and say little individually.
+constexpr std::uint32_t kMaxFrequentLinesPerWindow = 40;
+/// Limit for first runner choices. A failed attempt logs again what its runner was chosen from, so
+/// a sample of the first choices is enough.
+constexpr std::uint32_t kMaxFirstChoiceLinesPerWindow = 5;
 
-std::uint32_t limit_of(Event event) {
+std::uint32_t lines_per_window(Event event) {
   switch (event) {
     case Event::kRequestSent:
-      return kFirstChoiceLinesPerWindow;
+      return kMaxFirstChoiceLinesPerWindow;
     case Event::kRequestServed:
     case Event::kNoRoute:
     case Event::kCallerRefused:
@@ -22,9 +23,9 @@
     case Event::kTenantOverLimit:
     case Event::kPeerDatagramFailed:
     case Event::kRunnerListed:
-      return kSuccessLinesPerWindow;
+      return kMaxFrequentLinesPerWindow;
     default:
-      return kLinesPerWindow;
+      return kMaxLinesPerWindow;
   }
 }
 
@@ -35,14 +36,14 @@
   Window& window = windows_[event];
   LineAdmission result;
   if (window.start == TimePoint{} || now - window.start >= kWindow) {
-    result.left_out_before = window.left_out;
+    result.dropped_before = window.dropped;
     window = {now, 0, 0};
   }
-  result.admitted = window.written < limit_of(event);
+  result.admitted = window.written < lines_per_window(event);
   if (result.admitted) {
     ++window.written;
   } else {
-    ++window.left_out;
+    ++window.dropped;
   }
   return result;
 }
--- a/src/base/event_rate_limiter.h
+++ b/src/base/event_rate_limiter.h
@@ -1,5 +1,5 @@
 /// @file
-/// Bounds how many lines of each event a log may take in a second.
+/// Limits the number of log lines per event and second.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +11,15 @@
 
 namespace stoathold {
 
-/// What becomes of a line.
+/// Decision about a log line.
 struct LineAdmission {
   bool admitted = false;
-  /// Lines of the event that were left out in the second that has just ended; told once.
-  std::uint32_t left_out_before = 0;
+  /// Number of the event's lines that were dropped in the previous window; reported once.
+  std::uint32_t dropped_before = 0;
 };
 
-/// Counts lines in windows of a second, one for each event. Thread safe; nothing else is locked
-/// while its mutex is held.
+/// Counts the lines of each event in windows of one second. Thread safe; no other mutex is locked
+/// while its own is held.
 class EventRateLimiter {
  public:
   LineAdmission admit(Event event, TimePoint now);
@@ -28,7 +28,7 @@
   struct Window {
     TimePoint start{};
     std::uint32_t written = 0;
-    std::uint32_t left_out = 0;
+    std::uint32_t dropped = 0;
   };
 
   std::mutex mutex_;
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -1,5 +1,5 @@
 /// @file
-/// Strong identifier types shared by every layer.
+/// Strong identifier types shared by all layers.
 #pragma once
 
 #include <compare>
@@ -10,11 +10,11 @@
 
 namespace stoathold {
 
-/// Identity of one node process; a hash of its configured name.
+/// Identifies a node process; a hash of its configured name.
 enum class NodeId : std::uint64_t {};
-/// Identity of one start of a node process. A restarted node has a larger incarnation.
+/// Identifies one run of a node process. A restarted node has a larger incarnation.
 enum class Incarnation : std::uint64_t {};
-/// Identity of one model runner (a back end); a hash of its name in the machine list.
+/// Identifies a model runner (a back end); a hash of its name in the machine list.
 enum class RunnerId : std::uint64_t {};
 /// Position of a record in one stream of the platform's log; the first record has offset 1.
 enum class Offset : std::uint64_t {};
@@ -22,41 +22,42 @@
 enum class Epoch : std::uint64_t {};
 /// Index of a job shard; each shard is one stream of the log.
 enum class ShardId : std::uint32_t {};
-/// Identity of a batch job: a hash of tenant and idempotency key, so a resent job has the same id.
+/// Identifies a batch job; a hash of tenant and idempotency key, so that a resubmitted job has the
+/// same id.
 enum class JobId : std::uint64_t {};
-/// Identity of one caller's request at the node that received it.
+/// Identifies a client request at the node that received it.
 enum class RequestId : std::uint64_t {};
-/// Identity of one stream that a node opened on an engine.
+/// Identifies a stream that a node opened on an engine.
 enum class StreamId : std::uint64_t {};
 
-/// Returns the integer behind a strong identifier.
+/// Returns the integer value of a strong identifier.
 template <typename Identifier>
 constexpr std::uint64_t value_of(Identifier identifier) {
   return static_cast<std::uint64_t>(identifier);
 }
 
-/// Returns the identifier that follows `identifier`.
+/// Returns the successor of `identifier`.
 template <typename Identifier>
 constexpr Identifier next_of(Identifier identifier) {
   return static_cast<Identifier>(value_of(identifier) + 1);
 }
 
-/// Hashes `text` with `seed` (XXH64): stable over processes and releases.
+/// Hashes `text` with `seed` (XXH64); stable across processes and releases.
 std::uint64_t stable_hash(std::string_view text, std::uint64_t seed = 0);
 
-/// Mixes two hashes into one; used to rank pairs in rendezvous hashing.
+/// Combines two hashes; used to rank pairs in rendezvous hashing.
 std::uint64_t mix_hashes(std::uint64_t left, std::uint64_t right);
 
-/// Derives a node's identity from its configured name.
+/// Derives a node's id from its configured name.
 NodeId node_id_from_name(std::string_view name);
-/// Derives a runner's identity from its name in the machine list.
+/// Derives a runner's id from its name in the machine list.
 RunnerId runner_id_from_name(std::string_view name);
-/// Derives a job's identity from the tenant and the caller's idempotency key.
+/// Derives a job's id from the tenant and the client's idempotency key.
 JobId job_id_from_key(std::string_view tenant, std::string_view key);
 
 /// Formats an identifier as 16 hexadecimal digits.
 std::string to_hex(std::uint64_t value);
-/// Parses what `to_hex` wrote; returns false if `text` is not 1 to 16 hexadecimal digits.
+/// Parses the output of `to_hex`; returns false if `text` is not 1 to 16 hexadecimal digits.
 bool parse_hex(std::string_view text, std::uint64_t& value);
 
 }  // namespace stoathold
--- a/src/base/line_output.h
+++ b/src/base/line_output.h
@@ -1,5 +1,5 @@
 /// @file
-/// Writes lines to a file descriptor so that no reader ever sees a part of one.
+/// Writes lines to a file descriptor such that no reader sees a partial line.
 #pragma once
 
 #include <cstddef>
@@ -7,23 +7,24 @@
 
 namespace stoathold {
 
-/// Writes lines to a descriptor that it does not own. A pipe takes up to `PIPE_BUF` bytes whole or
-/// not at all, so lines go out in pieces of whole lines up to that: a process that is killed in a
-/// write leaves none cut, for the next one of the node to write on behind it. Used on one thread.
+/// Writes lines to a descriptor that it does not own. A write of up to `PIPE_BUF` bytes to a pipe
+/// is atomic, so lines are written in blocks of complete lines up to that size: a process that is
+/// killed during a write leaves no truncated line to which the node's next process would append.
+/// Not thread safe.
 class LineOutput {
  public:
   explicit LineOutput(int descriptor) : descriptor_(descriptor) {}
 
-  /// Writes lines, each with its end; waits for as long as the descriptor takes nothing. Lines that
-  /// it fails to take are left out.
+  /// Writes lines, each with its line break; blocks while the descriptor is not writable. Lines
+  /// that cannot be written because of an error are dropped.
   void write(std::string_view lines);
 
  private:
-  /// @return how many bytes went out: fewer than given if the descriptor failed.
+  /// @return the number of bytes written; less than `bytes.size()` if a write failed.
   std::size_t write_bytes(std::string_view bytes) const;
 
   int descriptor_;
-  bool cut_ = false;  ///< The last line that went out has no end.
+  bool line_incomplete_ = false;  ///< The last line written has no line break.
 };
 
 }  // namespace stoathold
--- a/src/base/log_fields.h
+++ b/src/base/log_fields.h
@@ -1,5 +1,5 @@
 /// @file
-/// Small helpers to write values into log events.
+/// Formats values for log events.
 #pragma once
 
 #include <string>
@@ -8,12 +8,12 @@
 
 namespace stoathold {
 
-/// Returns a duration in whole milliseconds.
+/// Formats a duration in whole milliseconds.
 inline std::string milliseconds_text(Duration duration) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
 }
 
-/// Returns a number with two digits behind the point.
+/// Formats a number with two decimal places.
 inline std::string decimal_text(double number) {
   constexpr int kHundred = 100;
   const int hundredths = static_cast<int>(number * kHundred);
--- a/src/base/memory_budget.cc
+++ b/src/base/memory_budget.cc
@@ -6,20 +6,22 @@
 namespace stoathold {
 namespace {
 
-/// What a process holds without callers or jobs, and what the allocator keeps: see the measurements
-/// in docs/design/memory-budget.md.
+/// Memory that a process uses without clients or jobs, and that the allocator retains; measured in
+/// docs/design/memory-budget.md.
 constexpr std::uint64_t kReserveBytes = 40UL * 1024 * 1024;
-/// Part of the limit that is kept besides: gaps between allocations grow with what is held.
-constexpr std::uint64_t kReservePart = 8;
-/// Part of a limit that is smaller than its reserve: such a process still serves small requests.
-constexpr std::uint64_t kLeastPart = 4;
-
-/// The part of the budget, in hundredths, up to which an account is given more. Batch stops at
-/// half, so that a burst of online requests finds the other half. New requests stop before the
-/// answers of those that run, whose runners' places are kept while they find no room. A connection
-/// takes little, and without one nobody could be told to come back. The last 5 are for what is
-/// counted without being asked.
-constexpr std::uint64_t percent_of(MemoryAccount account) {
+/// Divisor for the share of the limit that is reserved in addition, because fragmentation grows
+/// with the used memory.
+constexpr std::uint64_t kReserveDivisor = 8;
+/// Divisor for the minimum budget, for limits smaller than the reserve: such a process can still
+/// serve small requests.
+constexpr std::uint64_t kMinBudgetDivisor = 4;
+
+/// Returns up to which percentage of the budget an account may grow. Batch jobs stop at half, so
+/// that a burst of online requests finds the other half. New requests stop before the responses to
+/// running ones, which occupy runner slots while they find no memory. Connections use little, and
+/// without a connection a client cannot be told to retry. The last 5 percent are for bytes that are
+/// charged without a reservation.
+constexpr std::uint64_t percent_limit_of(MemoryAccount account) {
   switch (account) {
     case MemoryAccount::kJobRequests:
       return 50;
@@ -56,9 +58,9 @@
 }
 
 std::uint64_t budget_of_process(std::uint64_t limit_bytes) {
-  const std::uint64_t reserve = kReserveBytes + limit_bytes / kReservePart;
-  const std::uint64_t least = limit_bytes / kLeastPart;
-  return std::max(least, limit_bytes > reserve ? limit_bytes - reserve : 0);
+  const std::uint64_t reserve = kReserveBytes + limit_bytes / kReserveDivisor;
+  const std::uint64_t min_budget = limit_bytes / kMinBudgetDivisor;
+  return std::max(min_budget, limit_bytes > reserve ? limit_bytes - reserve : 0);
 }
 
 MemoryReservation::MemoryReservation(MemoryReservation&& other) noexcept
@@ -82,13 +84,13 @@
   bytes_ = bytes;
 }
 
-bool MemoryReservation::grow(std::uint64_t more_bytes) {
+bool MemoryReservation::grow(std::uint64_t additional_bytes) {
   if (budget_ == nullptr) return true;
-  if (!budget_->make_room(account_, more_bytes)) {
+  if (!budget_->make_room(account_, additional_bytes)) {
     budget_->count_refusal(account_);
     return false;
   }
-  resize(bytes_ + more_bytes);
+  resize(bytes_ + additional_bytes);
   return true;
 }
 
@@ -97,19 +99,19 @@
   budget_ = nullptr;
 }
 
-std::uint64_t MemoryBudget::mark(MemoryAccount account) const {
-  constexpr std::uint64_t kWhole = 100;
-  return limit_ / kWhole * percent_of(account);
+std::uint64_t MemoryBudget::account_limit(MemoryAccount account) const {
+  constexpr std::uint64_t kPercent = 100;
+  return limit_ / kPercent * percent_limit_of(account);
 }
 
 bool MemoryBudget::can_ever_fit(MemoryAccount account, std::uint64_t bytes) const {
-  return !limited() || bytes <= mark(account);
+  return !limited() || bytes <= account_limit(account);
 }
 
 bool MemoryBudget::has_room(MemoryAccount account, std::uint64_t bytes) const {
   if (!limited()) return true;
-  const std::uint64_t most = mark(account);
-  return bytes <= most && used_ <= most - bytes;
+  const std::uint64_t max_bytes = account_limit(account);
+  return bytes <= max_bytes && used_ <= max_bytes - bytes;
 }
 
 bool MemoryBudget::make_room(MemoryAccount account, std::uint64_t bytes) {
@@ -133,9 +135,9 @@
 }
 
 void MemoryBudget::add(MemoryAccount account, std::uint64_t bytes) {
-  Account& held = at(account);
-  held.used += bytes;
-  held.peak = std::max(held.peak, held.used);
+  Account& entry = at(account);
+  entry.used += bytes;
+  entry.peak = std::max(entry.peak, entry.used);
   used_ += bytes;
 }
 
--- a/src/base/memory_budget.h
+++ b/src/base/memory_budget.h
@@ -1,5 +1,6 @@
 /// @file
-/// One budget of bytes for a process, with accounts by purpose. Pure: no clock, no sockets.
+/// A memory budget for a process, with accounts by purpose. Uses neither clock nor input and
+/// output.
 #pragma once
 
 #include <array>
@@ -10,34 +11,34 @@
 
 namespace stoathold {
 
-/// What bytes are held for.
+/// What memory is used for.
 enum class MemoryAccount : std::uint8_t {
-  kConnections,    ///< Callers' connections, by a mean for each.
-  kRequestBodies,  ///< Bodies that are read or being handled.
-  kAnswers,        ///< Answers that wait until their callers take them.
-  kJobRequests,    ///< Requests of batch items that wait or run.
+  kConnections,    ///< Client connections, at an average size each.
+  kRequestBodies,  ///< Request bodies that are being received or handled.
+  kAnswers,        ///< Responses that wait for their clients to read them.
+  kJobRequests,    ///< Requests of batch items that are waiting or running.
   kJobResults,     ///< Results of batch items that are not durable yet.
-  kListedResults,  ///< Results of jobs as read from the log, kept for their readers.
+  kListedResults,  ///< Results of jobs as read from the log, cached for their readers.
 };
 
-/// How many accounts there are.
-inline constexpr std::size_t kMemoryAccounts = 6;
+/// Number of accounts.
+inline constexpr std::size_t kMemoryAccountCount = 6;
 
 /// All accounts, for metrics.
-inline constexpr std::array<MemoryAccount, kMemoryAccounts> kAllMemoryAccounts{
+inline constexpr std::array<MemoryAccount, kMemoryAccountCount> kAllMemoryAccounts{
     MemoryAccount::kConnections, MemoryAccount::kRequestBodies, MemoryAccount::kAnswers,
     MemoryAccount::kJobRequests, MemoryAccount::kJobResults,    MemoryAccount::kListedResults};
 
 /// Returns the account's name for logs and metrics.
 std::string_view to_string(MemoryAccount account);
 
-/// Returns the bytes that a process with this limit may hold on behalf of others: the limit less a
-/// reserve for what is not counted. 0 (no limit) stays 0.
+/// Returns the budget of a process with this memory limit: the limit less a reserve for memory that
+/// is not accounted. 0 (no limit) stays 0.
 std::uint64_t budget_of_process(std::uint64_t limit_bytes);
 
 class MemoryBudget;
 
-/// Bytes taken from a budget, which must outlive it; gives them back at its end.
+/// Bytes reserved in a budget, which must outlive the reservation. The destructor releases them.
 class MemoryReservation {
  public:
   MemoryReservation() = default;
@@ -47,10 +48,11 @@
   MemoryReservation(const MemoryReservation&) = delete;
   MemoryReservation& operator=(const MemoryReservation&) = delete;
 
-  /// Counts so many bytes from now on, whether there is room or not.
+  /// Sets the number of reserved bytes, whether they fit or not.
   void resize(std::uint64_t bytes);
-  /// Takes more bytes if there is room. @return false if there is none; it then stays as it was.
-  [[nodiscard]] bool grow(std::uint64_t more_bytes);
+  /// Reserves more bytes if they fit. @return false if they do not; the reservation is then
+  /// unchanged.
+  [[nodiscard]] bool grow(std::uint64_t additional_bytes);
   void release();
   [[nodiscard]] std::uint64_t bytes() const { return bytes_; }
 
@@ -64,41 +66,42 @@
   std::uint64_t bytes_ = 0;
 };
 
-/// Adds up what a process holds. Each account is given more while the sum of all accounts is below
-/// that account's mark, so that those with a low mark give way to those with a high one. Used on
-/// one thread.
+/// Tracks the memory that a process uses. An account may grow while the total of all accounts is
+/// below that account's limit, so that accounts with a lower limit yield to those with a higher
+/// one. Not thread safe.
 class MemoryBudget {
  public:
   MemoryBudget() = default;
   MemoryBudget(const MemoryBudget&) = delete;
   MemoryBudget& operator=(const MemoryBudget&) = delete;
 
-  /// @param bytes 0: no limit; nothing is refused.
+  /// @param bytes 0: no limit; no reservation fails.
   void set_limit(std::uint64_t bytes) { limit_ = bytes; }
   [[nodiscard]] bool limited() const { return limit_ > 0; }
   [[nodiscard]] std::uint64_t limit() const { return limit_; }
 
-  /// Asked to give back bytes when a reservation finds no room; @return whether some were.
+  /// Called to release memory when a reservation does not fit; @return whether any was released.
   using Reclaimer = std::function<bool()>;
   void set_reclaimer(Reclaimer reclaimer) { reclaimer_ = std::move(reclaimer); }
 
-  /// Whether so many bytes would fit if nothing else were held.
+  /// Returns whether the bytes would fit if nothing else were reserved.
   [[nodiscard]] bool can_ever_fit(MemoryAccount account, std::uint64_t bytes) const;
-  /// Whether so many more bytes fit now.
+  /// Returns whether the bytes fit now.
   [[nodiscard]] bool has_room(MemoryAccount account, std::uint64_t bytes) const;
-  /// The same, after asking the reclaimer as often as it helps.
+  /// Like `fits`, but calls the reclaimer for as long as it releases memory.
   [[nodiscard]] bool make_room(MemoryAccount account, std::uint64_t bytes);
-  /// Takes bytes before they are there; nothing if there is no room, which is counted.
+  /// Reserves bytes before they are allocated; returns nothing, and counts a refusal, if they do
+  /// not fit.
   [[nodiscard]] std::optional<MemoryReservation> reserve(MemoryAccount account,
                                                          std::uint64_t bytes);
-  /// Counts bytes that are there already, whether there is room or not.
+  /// Accounts for bytes that are already allocated, whether they fit or not.
   [[nodiscard]] MemoryReservation charge(MemoryAccount account, std::uint64_t bytes);
 
   [[nodiscard]] std::uint64_t used() const { return used_; }
   [[nodiscard]] std::uint64_t used(MemoryAccount account) const { return at(account).used; }
-  /// Most that the account has held at a time.
+  /// Maximum of the account's bytes so far.
   [[nodiscard]] std::uint64_t peak(MemoryAccount account) const { return at(account).peak; }
-  /// Reservations that found no room.
+  /// Number of reservations that did not fit.
   [[nodiscard]] std::uint64_t refusals(MemoryAccount account) const { return at(account).refusals; }
   void count_refusal(MemoryAccount account) { ++at(account).refusals; }
 
@@ -115,13 +118,13 @@
   [[nodiscard]] Account& at(MemoryAccount account) {
     return accounts_[static_cast<std::size_t>(account)];
   }
-  [[nodiscard]] std::uint64_t mark(MemoryAccount account) const;
+  [[nodiscard]] std::uint64_t account_limit(MemoryAccount account) const;
   void add(MemoryAccount account, std::uint64_t bytes);
   void subtract(MemoryAccount account, std::uint64_t bytes);
 
   std::uint64_t limit_ = 0;
   std::uint64_t used_ = 0;
-  std::array<Account, kMemoryAccounts> accounts_{};
+  std::array<Account, kMemoryAccountCount> accounts_{};
   Reclaimer reclaimer_;
 };
 
--- a/src/base/quantities.h
+++ b/src/base/quantities.h
@@ -1,5 +1,5 @@
 /// @file
-/// Counts that must not be mixed: an event of a stream holds several tokens.
+/// Distinct types for token and event counts: one event of a stream may hold several tokens.
 #pragma once
 
 #include <compare>
@@ -7,26 +7,26 @@
 
 namespace stoathold {
 
-/// Tokens of a prompt or of an answer.
+/// Number of tokens of a prompt or of a response.
 struct TokenCount {
   std::uint64_t value = 0;
 
   auto operator<=>(const TokenCount&) const = default;  // NOLINT(modernize-use-nullptr)
 };
 
-/// Events of a stream.
+/// Number of events of a stream.
 struct EventCount {
   std::uint64_t value = 0;
 
   auto operator<=>(const EventCount&) const = default;  // NOLINT(modernize-use-nullptr)
 };
 
-/// How many tokens an event holds in the mean; the only way from tokens to events.
+/// Average number of tokens per event; the only conversion from tokens to events.
 struct TokensPerEvent {
   double value = 0;  ///< 0: unknown.
 
   [[nodiscard]] bool known() const { return value > 0; }
-  /// Returns the events, with a fraction, that so many tokens make.
+  /// Returns the number of events, with a fraction, for a number of tokens.
   [[nodiscard]] double events_of(TokenCount tokens) const {
     return static_cast<double>(tokens.value) / value;
   }
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,5 +1,5 @@
 /// @file
-/// Seeded random numbers. Every source of randomness in the system is one of these.
+/// Seeded random number generators; all randomness in the system comes from them.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace stoathold {
 
-/// SplitMix64 generator: small, fast and the same on every platform for one seed.
-/// Not thread safe; each owner keeps its own.
+/// SplitMix64 generator: fast, and the same sequence on every platform for one seed. Not thread
+/// safe; each owner has its own.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
@@ -27,13 +27,15 @@
   std::uint64_t state_;
 };
 
-/// The generator for jitter and tie breaking in a real process; never used by the core, whose
-/// generators belong to the simulation. Not thread safe: for the thread that runs the event loop.
+/// Returns the process-wide generator for jitter and tie-breaking. Never used by the core, whose
+/// generators belong to the simulation. Not thread safe; only for the thread that runs the event
+/// loop.
 Random& process_random();
-/// Seeds it, so that processes started at the same moment differ.
+/// Seeds it, so that processes started at the same moment behave differently.
 void seed_process_random(std::uint64_t seed);
 
-/// Takes a random value out of a list that is not empty; the order of the others may change.
+/// Removes a random element from a list that is not empty, and returns it; the order of the others
+/// may change.
 template <typename Value>
 Value take_random(std::vector<Value>& values) {
   std::swap(values[process_random().below(values.size())], values.back());
--- a/src/base/ranked_mutex.h
+++ b/src/base/ranked_mutex.h
@@ -1,13 +1,13 @@
 /// @file
-/// Mutexes with a stated order. This header is the one place that states the order.
+/// Mutexes with a lock order. This header is the only definition of the order.
 #pragma once
 
 #include <mutex>
 
 namespace stoathold {
 
-/// Order in which locks are taken: a thread may only take a lock of a higher rank than those it
-/// holds. No lock is held across input or output.
+/// Lock order: a thread may only lock a mutex of a higher rank than those it holds. No lock is held
+/// during input or output.
 enum class LockRank : int {
   kJobShards = 10,
   kBatchRunners = 20,
@@ -20,8 +20,8 @@
   kTransport = 80,
 };
 
-/// A mutex that aborts a debug build when a thread takes it out of order.
-/// Meets the Lockable requirements, so `std::scoped_lock` works on it.
+/// A mutex that aborts a debug build when a thread violates the lock order. Meets the Lockable
+/// requirements, so `std::scoped_lock` works on it.
 class RankedMutex {
  public:
   explicit RankedMutex(LockRank rank) : rank_(rank) {}
--- a/src/base/saturated.h
+++ b/src/base/saturated.h
@@ -1,5 +1,5 @@
 /// @file
-/// Numbers for messages, whose fields are small.
+/// Saturating conversions for the small integer fields of messages.
 #pragma once
 
 #include <algorithm>
@@ -10,14 +10,14 @@
 
 namespace stoathold {
 
-/// Returns the value, or the nearest that the type holds.
+/// Converts a value, clamped to the range from 0 to the maximum of the target type.
 template <typename Number>
 constexpr Number saturated(std::int64_t value) {
   constexpr std::int64_t kLargest = std::numeric_limits<Number>::max();
   return static_cast<Number>(std::clamp<std::int64_t>(value, 0, kLargest));
 }
 
-/// Returns a duration in whole milliseconds, at most 65.5 s; 0 if it is negative.
+/// Converts a duration to whole milliseconds, clamped to the range from 0 to 65.5 s.
 constexpr std::uint16_t saturated_milliseconds(Duration duration) {
   return saturated<std::uint16_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
--- a/src/base/signal_hold.cc
+++ b/src/base/signal_hold.cc
@@ -5,23 +5,23 @@
 namespace stoathold {
 namespace {
 
-sigset_t set_of(std::initializer_list<int> signals) {
-  sigset_t set;
-  sigemptyset(&set);
-  for (const int signal : signals) sigaddset(&set, signal);
-  return set;
+sigset_t signal_set(std::initializer_list<int> signals) {
+  sigset_t mask;
+  sigemptyset(&mask);
+  for (const int signal : signals) sigaddset(&mask, signal);
+  return mask;
 }
 
 }  // namespace
 
 void hold_signals() {
-  const sigset_t set = set_of({SIGTERM, SIGINT, SIGHUP, SIGPIPE});
-  pthread_sigmask(SIG_BLOCK, &set, nullptr);
+  const sigset_t mask = signal_set({SIGTERM, SIGINT, SIGHUP, SIGPIPE});
+  pthread_sigmask(SIG_BLOCK, &mask, nullptr);
 }
 
 void heed_signals(std::initializer_list<int> signals) {
-  const sigset_t set = set_of(signals);
-  pthread_sigmask(SIG_UNBLOCK, &set, nullptr);
+  const sigset_t mask = signal_set(signals);
+  pthread_sigmask(SIG_UNBLOCK, &mask, nullptr);
 }
 
 }  // namespace stoathold
--- a/src/base/signal_hold.h
+++ b/src/base/signal_hold.h
@@ -1,18 +1,19 @@
 /// @file
-/// Signals that reach a process before its loop heeds them, or after it has ended, wait.
+/// Blocks signals before the event loop handles them and after it has ended, so that they stay
+/// pending.
 #pragma once
 
 #include <initializer_list>
 
 namespace stoathold {
 
-/// Holds the signals by which a process is stopped and told to read its settings again. Called
-/// first in `main`, since threads inherit what is held, and once more when the loop has ended. A
-/// write to a pipe whose reader has gone ends the process neither: it fails.
+/// Blocks the signals that stop a process or make it reload its settings. Called first in `main`,
+/// since threads inherit the signal mask, and again when the event loop has ended. Also blocks
+/// SIGPIPE, so that a write to a pipe without a reader fails instead of ending the process.
 void hold_signals();
 
-/// Lets those signals through to the handlers that are installed by now. Also what the process'
-/// starter has held. Called on the thread that runs the loop.
+/// Unblocks signals so that the installed handlers receive them, even if the parent process had
+/// blocked them. Called on the thread that runs the event loop.
 void heed_signals(std::initializer_list<int> signals);
 
 }  // namespace stoathold
--- a/src/base/start_progress.h
+++ b/src/base/start_progress.h
@@ -1,5 +1,5 @@
 /// @file
-/// How far a process has come since its start, told once for each step.
+/// Tracks the startup steps of a process and logs each one once.
 #pragma once
 
 #include <array>
@@ -12,36 +12,36 @@
 
 namespace stoathold {
 
-/// Steps from the start to the first work. Items and requests come in any order.
+/// Steps from process start to the first work. Items and requests occur in any order.
 enum class StartStep : std::uint8_t {
   kConfigurationKnown,
   kRunnerListKnown,
   kFirstSlotsHeld,
-  kJobsRead,            ///< All partitions of jobs that are followed, to their ends.
-  kFirstItemPlaced,     ///< At a runner.
-  kFirstRequestServed,  ///< An online one, whole.
+  kJobsRead,            ///< All followed job partitions have been read to their ends.
+  kFirstItemPlaced,     ///< A batch item was dispatched to a runner.
+  kFirstRequestServed,  ///< An online request was served completely.
 };
 
-/// Steps that there are.
-inline constexpr std::size_t kStartSteps = 6;
+/// Number of steps.
+inline constexpr std::size_t kStartupStepCount = 6;
 
-/// Returns the step's name for logs.
+/// Returns the name of the step for logs.
 std::string_view to_string(StartStep step);
 
-/// Notes the steps of one process. Made at its start; used on one thread.
+/// Records the startup steps of one process. Created at its start; not thread safe.
 class StartProgress {
  public:
   explicit StartProgress(TimePoint start) : start_(start) {}
 
-  /// Writes a line if the step is reached for the first time.
-  /// @return whether it is.
+  /// Logs the step if it is reached for the first time.
+  /// @return whether it is the first time.
   bool reached(StartStep step, TimePoint now);
-  /// Seconds from the start to each step that was reached, by the step's name.
+  /// Seconds from process start to each step reached so far, by step name.
   [[nodiscard]] const std::map<std::string, double>& seconds() const { return seconds_; }
 
  private:
   TimePoint start_;
-  std::array<bool, kStartSteps> reached_{};
+  std::array<bool, kStartupStepCount> reached_{};
   std::map<std::string, double> seconds_;
 };
 
--- a/src/base/timer.h
+++ b/src/base/timer.h
@@ -1,5 +1,5 @@
 /// @file
-/// Timers that count the time for which the machine is suspended.
+/// Timers that include the time during which the machine is suspended.
 #pragma once
 
 #include <boost/asio/basic_waitable_timer.hpp>
@@ -8,7 +8,7 @@
 
 namespace stoathold {
 
-/// The clock of `monotonic_now`, in the form that timers want.
+/// The clock of `monotonic_now`, with the interface that Asio timers require.
 struct BootClock {
   using duration = Duration;
   using rep = Duration::rep;
@@ -19,8 +19,8 @@
   static time_point now() { return time_point(monotonic_now().time_since_epoch()); }
 };
 
-/// A timer. After a suspension it fires when it is due by this clock, as soon as any timer of the
-/// loop fires by the steady one: nodes have one that comes up every 250 ms.
+/// A timer on `BootClock`. After a suspension, an expired timer fires as soon as any timer of the
+/// event loop wakes it by the steady clock; nodes have one that does so every 250 ms.
 using Timer = boost::asio::basic_waitable_timer<BootClock>;
 
 }  // namespace stoathold
--- a/tests/base/event_catalogue_test.cc
+++ b/tests/base/event_catalogue_test.cc
@@ -18,7 +18,7 @@
   return row.str();
 }
 
-TEST(EventCatalogueTest, ThePageAndTheCodeAgree) {
+TEST(EventCatalogueTest, PageMatchesCatalogue) {
   std::ifstream page(STOATHOLD_SOURCE_DIR "/docs/EVENTS.md");
   std::set<std::string> documented;
   std::string line;
--- a/tests/base/event_rate_limiter_test.cc
+++ b/tests/base/event_rate_limiter_test.cc
@@ -7,27 +7,27 @@
 
 constexpr TimePoint kStart{std::chrono::seconds(100)};
 
-std::uint32_t admitted_of(EventRateLimiter& limiter, Event event, int lines) {
+std::uint32_t count_admitted(EventRateLimiter& limiter, Event event, int lines) {
   std::uint32_t admitted = 0;
   for (int i = 0; i < lines; ++i) admitted += limiter.admit(event, kStart).admitted ? 1 : 0;
   return admitted;
 }
 
-TEST(EventRateLimiterTest, FewerSuccessesThanFailuresAreKept) {
+TEST(EventRateLimiterTest, FrequentEventsHaveLowerLimits) {
   EventRateLimiter limiter;
-  EXPECT_EQ(admitted_of(limiter, Event::kRequestServed, 1000), 40);
-  EXPECT_EQ(admitted_of(limiter, Event::kRequestSent, 1000), 5);
-  EXPECT_EQ(admitted_of(limiter, Event::kRequestEnded, 1000), 200);
+  EXPECT_EQ(count_admitted(limiter, Event::kRequestServed, 1000), 40);
+  EXPECT_EQ(count_admitted(limiter, Event::kRequestSent, 1000), 5);
+  EXPECT_EQ(count_admitted(limiter, Event::kRequestEnded, 1000), 200);
 }
 
-TEST(EventRateLimiterTest, TheNextSecondTellsOnceWhatWasLeftOut) {
+TEST(EventRateLimiterTest, NextWindowReportsDroppedLinesOnce) {
   EventRateLimiter limiter;
-  admitted_of(limiter, Event::kRequestServed, 50);
+  count_admitted(limiter, Event::kRequestServed, 50);
   const TimePoint later = kStart + std::chrono::seconds(1);
   const LineAdmission first = limiter.admit(Event::kRequestServed, later);
   EXPECT_TRUE(first.admitted);
-  EXPECT_EQ(first.left_out_before, 10);
-  EXPECT_EQ(limiter.admit(Event::kRequestServed, later).left_out_before, 0);
+  EXPECT_EQ(first.dropped_before, 10);
+  EXPECT_EQ(limiter.admit(Event::kRequestServed, later).dropped_before, 0);
 }
 
 }  // namespace
--- a/tests/base/log_output_test.cc
+++ b/tests/base/log_output_test.cc
@@ -1,9 +1,8 @@
-/// Lines in a pipe that is read slowly, or whose writer ends.
+/// Tests that lines in a pipe stay complete when it is read slowly or its writer ends.
 ///
-/// What happened: lines of a node stood joined in the output that a bench had read, each with the
-/// rest of another one, parts lost. The console's stream wrote a batch of lines in one call of up
-/// to 1 MB, so that a process that ended while its pipe was full left the first 64 kB, which end in
-/// the midst of a line, and the next process of the node wrote on behind them.
+/// Guards against joined log lines of two processes of a node. The console stream wrote batches of
+/// lines in one call of up to 1 MB, so a process that ended while its pipe was full left the first
+/// 64 kB, which end within a line, and the node's next process appended to that line.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/wait.h>
@@ -22,12 +21,12 @@
 
 constexpr int kLines = 1500;
 constexpr Duration kLong = std::chrono::seconds(30);
-constexpr std::size_t kSlowRead = 1000;
+constexpr std::size_t kReadBytes = 1000;
 
-/// A child that writes lines to a pipe, whose reading end is ours.
+/// A child process that writes lines to a pipe; this process reads them.
 class Child {
  public:
-  /// `interrupted`: a signal reaches it often, and its handler lets calls end early.
+  /// @param interrupted a signal arrives often, and its handler interrupts system calls.
   Child(int extra_flags, bool interrupted) {
     int ends[2] = {};
     EXPECT_EQ(pipe(ends), 0);
@@ -44,7 +43,7 @@
   Child(const Child&) = delete;
   Child& operator=(const Child&) = delete;
 
-  /// Another process of the same node, on the same pipe.
+  /// Starts another process of the same node on the same pipe.
   void start(bool interrupted) {
     process_ = fork();
     if (process_ != 0) return;
@@ -62,12 +61,12 @@
     close(writer_);
     writer_ = -1;
   }
-  /// Reads a little, as it comes. @return empty at the end.
+  /// Reads what is available, up to a small size. @return an empty text at the end.
   [[nodiscard]] std::string read_some() const {
-    std::string piece(kSlowRead, '\0');
-    const ssize_t count = read(reader_, piece.data(), piece.size());
-    piece.resize(count < 0 ? 0 : static_cast<std::size_t>(count));
-    return piece;
+    std::string chunk(kReadBytes, '\0');
+    const ssize_t count = read(reader_, chunk.data(), chunk.size());
+    chunk.resize(count < 0 ? 0 : static_cast<std::size_t>(count));
+    return chunk;
   }
 
  private:
@@ -79,7 +78,7 @@
     }
     start_bounded_event_log(EventLevel::kInfo, "n1");
     for (int i = 0; i < kLines; ++i) {
-      // Errors, of which none is left out by its rate.
+      // The rate limiter never drops this event.
       log_event(Event::kLogLinesLeftOut,
                 {{"of", std::string(static_cast<std::size_t>(i % 300), 'x')}, {"count", "1"}});
     }
@@ -92,9 +91,9 @@
   pid_t process_ = -1;
 };
 
-/// Returns the lines that are not one whole event.
-std::vector<std::string> broken_lines(const std::string& text, int& whole) {
-  std::vector<std::string> broken;
+/// Returns the lines that are not exactly one event, and counts the others.
+std::vector<std::string> malformed_lines(const std::string& text, int& complete) {
+  std::vector<std::string> malformed;
   std::size_t begin = 0;
   while (begin < text.size()) {
     const std::size_t end = text.find('\n', begin);
@@ -102,54 +101,54 @@
     const bool starts = line.rfind("{\"time\":", 0) == 0 && line.find("\"time\"", 1) == 1;
     const bool once = line.find("{\"time\":", 1) == std::string::npos;
     if (starts && once && line.back() == '}' && end != std::string::npos) {
-      ++whole;
+      ++complete;
     } else {
-      broken.push_back(line);
+      malformed.push_back(line);
     }
     if (end == std::string::npos) break;
     begin = end + 1;
   }
-  return broken;
+  return malformed;
 }
 
 std::string read_all(Child& child, bool interrupted) {
   child.close_writer();
   std::string text;
-  for (std::string piece = child.read_some(); !piece.empty(); piece = child.read_some()) {
-    text += piece;
+  for (std::string chunk = child.read_some(); !chunk.empty(); chunk = child.read_some()) {
+    text += chunk;
     if (interrupted) child.signal_once();
-    if (text.size() % (64 * kSlowRead) == 0) std::this_thread::sleep_for(Duration(200));
+    if (text.size() % (64 * kReadBytes) == 0) std::this_thread::sleep_for(Duration(200));
   }
   return text;
 }
 
-void expect_all_whole(int flags, bool interrupted) {
+void expect_all_complete(int flags, bool interrupted) {
   Child child(flags, interrupted);
-  int whole = 0;
-  EXPECT_EQ(broken_lines(read_all(child, interrupted), whole), std::vector<std::string>{});
-  EXPECT_EQ(whole, kLines);
+  int complete = 0;
+  EXPECT_EQ(malformed_lines(read_all(child, interrupted), complete), std::vector<std::string>{});
+  EXPECT_EQ(complete, kLines);
 }
 
-TEST(LogOutputTest, LinesInAPipeThatIsReadSlowlyAreWhole) {
-  expect_all_whole(0, false);
+TEST(LogOutputTest, LinesAreCompleteInSlowlyReadPipe) {
+  expect_all_complete(0, false);
 }
 
-TEST(LogOutputTest, LinesAreWholeWhenSignalsEndWritesEarly) {
-  expect_all_whole(0, true);
+TEST(LogOutputTest, LinesAreCompleteWhenSignalsInterruptWrites) {
+  expect_all_complete(0, true);
 }
 
-TEST(LogOutputTest, LinesAreWholeInAPipeThatDoesNotWait) {
-  expect_all_whole(O_NONBLOCK, false);
+TEST(LogOutputTest, LinesAreCompleteInNonBlockingPipe) {
+  expect_all_complete(O_NONBLOCK, false);
 }
 
-TEST(LogOutputTest, AProcessThatEndsWhileItsPipeIsFullLeavesNoHalfLine) {
+TEST(LogOutputTest, KilledProcessLeavesNoTruncatedLine) {
   Child child(0, false);
   std::this_thread::sleep_for(std::chrono::milliseconds(600));
   child.kill();
   child.start(false);
-  int whole = 0;
-  EXPECT_EQ(broken_lines(read_all(child, false), whole), std::vector<std::string>{});
-  EXPECT_GT(whole, kLines);
+  int complete = 0;
+  EXPECT_EQ(malformed_lines(read_all(child, false), complete), std::vector<std::string>{});
+  EXPECT_GT(complete, kLines);
 }
 
 }  // namespace
--- a/tests/base/memory_budget_test.cc
+++ b/tests/base/memory_budget_test.cc
@@ -11,7 +11,7 @@
 constexpr std::uint64_t kMegabyte = 1024UL * 1024;
 constexpr std::uint64_t kBudget = 100 * kMegabyte;
 
-TEST(MemoryBudgetTest, WithoutALimitNothingIsRefused) {
+TEST(MemoryBudgetTest, NoLimitRefusesNothing) {
   MemoryBudget budget;
   const auto reservation = budget.reserve(MemoryAccount::kRequestBodies, 1000 * kMegabyte);
   ASSERT_TRUE(reservation);
@@ -20,7 +20,7 @@
   EXPECT_EQ(budget_of_process(0), 0U);
 }
 
-TEST(MemoryBudgetTest, ABudgetIsLeftOfEachLimit) {
+TEST(MemoryBudgetTest, EveryLimitLeavesABudget) {
   for (const std::uint64_t limit : {16UL, 64UL, 120UL, 160UL, 512UL, 4096UL}) {
     const std::uint64_t budget = budget_of_process(limit * kMegabyte);
     EXPECT_GE(budget, limit * kMegabyte / 4) << limit;
@@ -28,7 +28,7 @@
   }
 }
 
-TEST(MemoryBudgetTest, BytesAreGivenBackByScope) {
+TEST(MemoryBudgetTest, ReservationsReleaseOnScopeExit) {
   MemoryBudget budget;
   budget.set_limit(kBudget);
   {
@@ -48,8 +48,8 @@
   EXPECT_EQ(budget.peak(MemoryAccount::kRequestBodies), 10 * kMegabyte);
 }
 
-// 200 bodies of 1 MB at once, each counted twice, on a machine that has room for 37 of them.
-TEST(MemoryBudgetTest, BodiesThatComeAtOnceAreRefusedBeforeTheyAreThere) {
+// 200 bodies of 1 MB arrive at once and are counted twice each; the budget holds 37 of them.
+TEST(MemoryBudgetTest, RefusesConcurrentBodiesBeforeAllocation) {
   MemoryBudget budget;
   budget.set_limit(kBudget);
   std::vector<MemoryReservation> held;
@@ -64,8 +64,8 @@
   EXPECT_TRUE(budget.reserve(MemoryAccount::kRequestBodies, 2 * kMegabyte));
 }
 
-// Batch gives way to new requests, these to the answers of those that run, and all to connections.
-TEST(MemoryBudgetTest, AccountsGiveWayInTheirOrder) {
+// Batch jobs yield to new requests, these to the responses to running ones, and all to connections.
+TEST(MemoryBudgetTest, AccountsYieldInOrderOfTheirLimits) {
   MemoryBudget budget;
   budget.set_limit(kBudget);
   auto jobs = budget.charge(MemoryAccount::kJobRequests, 50 * kMegabyte);
@@ -80,8 +80,8 @@
   EXPECT_FALSE(budget.has_room(MemoryAccount::kConnections, 11 * kMegabyte));
 }
 
-// What is at hand is counted though there is no room: refused or not, the bytes are there.
-TEST(MemoryBudgetTest, BytesAtHandAreAlwaysCounted) {
+// Allocated bytes are counted even if they do not fit.
+TEST(MemoryBudgetTest, ChargedBytesAreAlwaysCounted) {
   MemoryBudget budget;
   budget.set_limit(kBudget);
   auto results = budget.charge(MemoryAccount::kJobResults, 2 * kBudget);
@@ -91,7 +91,7 @@
   EXPECT_TRUE(budget.reserve(MemoryAccount::kAnswers, 1));
 }
 
-TEST(MemoryBudgetTest, WhatCouldNeverFitIsKnownFromTheStart) {
+TEST(MemoryBudgetTest, DetectsBytesThatCanNeverFit) {
   MemoryBudget budget;
   budget.set_limit(kBudget);
   EXPECT_TRUE(budget.can_ever_fit(MemoryAccount::kRequestBodies, 75 * kMegabyte));
@@ -100,31 +100,32 @@
   EXPECT_FALSE(budget.has_room(MemoryAccount::kRequestBodies, ~0UL));
 }
 
-// The reclaimer is asked only while it helps, and never for what could not fit anyway.
-TEST(MemoryBudgetTest, OthersAreAskedToGiveBackUntilThereIsRoom) {
+// The reclaimer is called only while it releases memory, and never for a reservation that could not
+// fit anyway.
+TEST(MemoryBudgetTest, ReclaimsUntilReservationFits) {
   MemoryBudget budget;
   budget.set_limit(kBudget);
-  std::vector<MemoryReservation> slow;
-  for (int caller = 0; caller < 9; ++caller) {
-    slow.push_back(budget.charge(MemoryAccount::kAnswers, 10 * kMegabyte));
+  std::vector<MemoryReservation> responses;
+  for (int client = 0; client < 9; ++client) {
+    responses.push_back(budget.charge(MemoryAccount::kAnswers, 10 * kMegabyte));
   }
-  int asked = 0;
+  int reclaim_calls = 0;
   budget.set_reclaimer([&] {
-    ++asked;
-    if (slow.size() <= 5) return false;
-    slow.pop_back();
+    ++reclaim_calls;
+    if (responses.size() <= 5) return false;
+    responses.pop_back();
     return true;
   });
   EXPECT_FALSE(budget.reserve(MemoryAccount::kRequestBodies, 76 * kMegabyte));
-  EXPECT_EQ(asked, 0);
+  EXPECT_EQ(reclaim_calls, 0);
   auto body = budget.reserve(MemoryAccount::kRequestBodies, 5 * kMegabyte);
   ASSERT_TRUE(body);
-  EXPECT_EQ(slow.size(), 7U);
+  EXPECT_EQ(responses.size(), 7U);
   EXPECT_TRUE(body->grow(15 * kMegabyte));
-  EXPECT_EQ(slow.size(), 5U);
+  EXPECT_EQ(responses.size(), 5U);
   EXPECT_FALSE(body->grow(6 * kMegabyte));
   EXPECT_EQ(body->bytes(), 20 * kMegabyte);
-  EXPECT_EQ(slow.size(), 5U);
+  EXPECT_EQ(responses.size(), 5U);
 }
 
 }  // namespace
--- a/tests/base/ranked_mutex_test.cc
+++ b/tests/base/ranked_mutex_test.cc
@@ -7,7 +7,7 @@
 namespace stoathold {
 namespace {
 
-TEST(RankedMutexTest, LocksInOrderAreTaken) {
+TEST(RankedMutexTest, AcceptsLocksInOrder) {
   RankedMutex outer(LockRank::kJobShards);
   RankedMutex inner(LockRank::kMembership);
   const std::scoped_lock first(outer);
@@ -15,7 +15,7 @@
 }
 
 #ifndef NDEBUG
-TEST(RankedMutexDeathTest, ABreachOfTheOrderAborts) {
+TEST(RankedMutexDeathTest, OrderViolationAborts) {
   RankedMutex outer(LockRank::kMembership);
   RankedMutex inner(LockRank::kJobShards);
   const std::scoped_lock first(outer);
--- a/tests/base/start_progress_test.cc
+++ b/tests/base/start_progress_test.cc
@@ -5,7 +5,7 @@
 namespace stoathold {
 namespace {
 
-TEST(StartProgressTest, EachStepIsToldOnce) {
+TEST(StartProgressTest, LogsEachStepOnce) {
   const TimePoint start{std::chrono::seconds(100)};
   StartProgress progress(start);
   EXPECT_TRUE(progress.reached(StartStep::kConfigurationKnown, start + std::chrono::seconds(1)));
@@ -14,7 +14,7 @@
   EXPECT_FALSE(progress.reached(StartStep::kFirstItemPlaced, start + std::chrono::seconds(4)));
 }
 
-TEST(StartProgressTest, TheTimeOfEachStepStaysThatOfTheFirst) {
+TEST(StartProgressTest, KeepsTimeOfFirstOccurrence) {
   const TimePoint start{std::chrono::seconds(100)};
   StartProgress progress(start);
   EXPECT_TRUE(progress.seconds().empty());
