--- a/apps/emulator_main.cc
+++ b/apps/emulator_main.cc
@@ -9,7 +9,7 @@
 #include <iostream>
 
 #include "base/event_log.h"
-#include "emulator/stand_in.h"
+#include "emulator/emulated_service.h"
 
 namespace {
 
--- a/apps/node_main.cc
+++ b/apps/node_main.cc
@@ -4,7 +4,7 @@
 #include <iostream>
 #include <map>
 
-#include "base/signal_hold.h"
+#include "base/signal_mask.h"
 #include "server/node_server.h"
 #include "server/settings.h"
 
--- a/apps/platform_main.cc
+++ b/apps/platform_main.cc
@@ -5,7 +5,7 @@
 #include <iostream>
 
 #include "base/event_log.h"
-#include "base/signal_hold.h"
+#include "base/signal_mask.h"
 #include "platform/platform_node.h"
 #include "platform/platform_settings.h"
 
--- a/apps/stoatctl_main.cc
+++ b/apps/stoatctl_main.cc
@@ -6,7 +6,7 @@
 #include <iostream>
 
 #include "ctl/control_client.h"
-#include "ctl/log_story.h"
+#include "ctl/log_timeline.h"
 #include "ctl/manifest.h"
 #include "ctl/table.h"
 
--- a/emulator/answer.cc
+++ b/emulator/completion.cc
@@ -1,4 +1,4 @@
-#include "emulator/answer.h"
+#include "emulator/completion.h"
 
 #include <algorithm>
 #include <array>
--- a/emulator/engine_stand_in.cc
+++ b/emulator/emulated_engine.cc
@@ -5,8 +5,8 @@
 
 #include "base/ids.h"
 #include "emulator/admin.h"
-#include "emulator/answer.h"
-#include "emulator/stand_in.h"
+#include "emulator/completion.h"
+#include "emulator/emulated_service.h"
 #include "net/engine_client.h"
 #include "net/event_splitter.h"
 #include "net/http_target.h"
--- a/emulator/link_stand_in.cc
+++ b/emulator/emulated_link.cc
@@ -5,7 +5,7 @@
 #include <system_error>
 
 #include "emulator/admin.h"
-#include "emulator/stand_in.h"
+#include "emulator/emulated_service.h"
 
 namespace stoathold::emulator {
 namespace {
--- a/emulator/log_stand_in.cc
+++ b/emulator/emulated_log.cc
@@ -4,7 +4,7 @@
 #include <map>
 
 #include "emulator/admin.h"
-#include "emulator/stand_in.h"
+#include "emulator/emulated_service.h"
 #include "net/http_target.h"
 #include "net/log_client.h"
 
--- a/emulator/metadata_store_stand_in.cc
+++ b/emulator/emulated_metadata_store.cc
@@ -3,8 +3,8 @@
 #include <cereal/external/base64.hpp>
 
 #include "emulator/admin.h"
+#include "emulator/emulated_service.h"
 #include "emulator/log_model.h"
-#include "emulator/stand_in.h"
 #include "net/http_target.h"
 #include "platform/record_framing.h"
 
--- a/emulator/platform_stand_ins.cc
+++ b/emulator/emulated_platform_services.cc
@@ -4,7 +4,7 @@
 
 #include "base/ids.h"
 #include "emulator/admin.h"
-#include "emulator/stand_in.h"
+#include "emulator/emulated_service.h"
 
 namespace stoathold::emulator {
 namespace {
--- a/src/admission/arrival_swing.cc
+++ b/src/admission/arrival_rate_forecaster.cc
@@ -1,4 +1,4 @@
-#include "admission/arrival_swing.h"
+#include "admission/arrival_rate_forecaster.h"
 
 #include <algorithm>
 #include <numeric>
--- a/src/admission/fair_turns.cc
+++ b/src/admission/fair_share_ranker.cc
@@ -1,4 +1,4 @@
-#include "admission/fair_turns.h"
+#include "admission/fair_share_ranker.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/admission/fair_turns.h
+++ b/src/admission/fair_share_ranker.h
@@ -14,7 +14,7 @@
 #include <cstdint>
 #include <unordered_map>
 
-#include "admission/share_ledger.h"
+#include "admission/slot_time_ledger.h"
 #include "base/decaying_count.h"
 #include "base/time.h"
 
@@ -33,7 +33,7 @@
  public:
   explicit FairTurns(ShareLedger& ledger) : ledger_(ledger) {}
 
-  /// Adds a request, which counts as waiting until `on_placed` or `on_abandoned`.
+  /// Adds a request, which counts as waiting until `on_placed` or `on_unplaced`.
   /// @return its rank: 0 within the fair share; lower ranks are served first.
   double arrive(const TurnRequest& request, TimePoint now);
   /// Adds a request that needs no rank; it only counts as waiting.
--- a/src/admission/returning_callers.cc
+++ b/src/admission/retry_bookings.cc
@@ -1,8 +1,8 @@
-#include "admission/returning_callers.h"
+#include "admission/retry_bookings.h"
 
 #include <algorithm>
 
-#include "base/saturated.h"
+#include "base/saturating_cast.h"
 
 namespace stoathold {
 namespace {
--- a/src/admission/returning_callers.h
+++ b/src/admission/retry_bookings.h
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "admission/return_report.h"
+#include "admission/retry_booking_report.h"
 #include "base/time.h"
 
 namespace stoathold {
--- a/src/admission/return_times.cc
+++ b/src/admission/retry_times.cc
@@ -1,4 +1,4 @@
-#include "admission/return_times.h"
+#include "admission/retry_times.h"
 
 #include <algorithm>
 #include <vector>
--- a/src/admission/return_times.h
+++ b/src/admission/retry_times.h
@@ -4,8 +4,8 @@
 
 #include <optional>
 
-#include "admission/arrival_swing.h"
-#include "admission/returning_callers.h"
+#include "admission/arrival_rate_forecaster.h"
+#include "admission/retry_bookings.h"
 #include "base/random.h"
 #include "base/time.h"
 
--- a/src/admission/shared_room.cc
+++ b/src/admission/shared_budget.cc
@@ -1,4 +1,4 @@
-#include "admission/shared_room.h"
+#include "admission/shared_budget.h"
 
 namespace stoathold {
 namespace {
--- a/src/admission/slot_times.cc
+++ b/src/admission/slot_time_estimator.cc
@@ -1,4 +1,4 @@
-#include "admission/slot_times.h"
+#include "admission/slot_time_estimator.h"
 
 namespace stoathold {
 namespace {
--- a/src/admission/share_ledger.cc
+++ b/src/admission/slot_time_ledger.cc
@@ -1,4 +1,4 @@
-#include "admission/share_ledger.h"
+#include "admission/slot_time_ledger.h"
 
 #include <algorithm>
 
--- a/src/admission/share_ledger.h
+++ b/src/admission/slot_time_ledger.h
@@ -13,7 +13,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "admission/share_report.h"
+#include "admission/slot_time_report.h"
 #include "base/decaying_count.h"
 #include "base/time.h"
 
--- a/src/admission/zone_backlog.cc
+++ b/src/admission/zone_backlog.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "base/saturated.h"
+#include "base/saturating_cast.h"
 
 namespace stoathold {
 namespace {
--- a/src/admission/zone_backlog.h
+++ b/src/admission/zone_backlog.h
@@ -9,7 +9,7 @@
 #include <tuple>
 #include <vector>
 
-#include "admission/arrival_swing.h"
+#include "admission/arrival_rate_forecaster.h"
 #include "admission/backlog_report.h"
 #include "base/time.h"
 
--- a/src/base/signal_hold.cc
+++ b/src/base/signal_mask.cc
@@ -1,4 +1,4 @@
-#include "base/signal_hold.h"
+#include "base/signal_mask.h"
 
 #include <csignal>
 
--- a/src/base/start_progress.cc
+++ b/src/base/startup_progress.cc
@@ -1,4 +1,4 @@
-#include "base/start_progress.h"
+#include "base/startup_progress.h"
 
 #include <string>
 
--- a/src/core/configuration_state.cc
+++ b/src/core/configuration_state.cc
@@ -7,29 +7,31 @@
 
 namespace stoathold {
 
-ApplyResult ConfigurationState::evaluate(const ConfigurationEntry& entry) const {
+ConfigurationApplyResult ConfigurationState::evaluate(const ConfigurationEntry& entry) const {
   if (result_of(entry.id) && policy_switches().drop_repeated_appends)
-    return ApplyResult::kDuplicate;
+    return ConfigurationApplyResult::kDuplicate;
   const auto& change = entry.change;
   const auto* present = find(change.kind, change.name);
   const Offset version = present == nullptr ? Offset{} : present->version;
   if (version != change.expected_version && policy_switches().conflict_on_version) {
-    return ApplyResult::kConflict;
+    return ConfigurationApplyResult::kConflict;
   }
-  if (change.deleted) return present == nullptr ? ApplyResult::kConflict : ApplyResult::kAccepted;
-  return ApplyResult::kAccepted;
+  if (change.deleted)
+    return present == nullptr ? ConfigurationApplyResult::kConflict
+                              : ConfigurationApplyResult::kAccepted;
+  return ConfigurationApplyResult::kAccepted;
 }
 
-ApplyResult ConfigurationState::apply(Offset offset, const ConfigurationEntry& entry) {
+ConfigurationApplyResult ConfigurationState::apply(Offset offset, const ConfigurationEntry& entry) {
   if (offset < next_offset_ && policy_switches().configuration_strictly_upward) {
-    return ApplyResult::kDuplicate;
+    return ConfigurationApplyResult::kDuplicate;
   }
   next_offset_ = next_of(offset);
-  const ApplyResult result = evaluate(entry);
-  if (result == ApplyResult::kDuplicate) return result;
+  const ConfigurationApplyResult result = evaluate(entry);
+  if (result == ConfigurationApplyResult::kDuplicate) return result;
   recent_changes_.push_back({entry.id, result, offset});
   if (recent_changes_.size() > kMaxRecentChanges) recent_changes_.erase(recent_changes_.begin());
-  if (result != ApplyResult::kAccepted) return result;
+  if (result != ConfigurationApplyResult::kAccepted) return result;
   const auto& change = entry.change;
   const Key key{change.kind, change.name};
   if (change.deleted) {
@@ -49,7 +51,7 @@
   return found == resources_.end() ? nullptr : &found->second;
 }
 
-std::optional<std::pair<ApplyResult, Offset>> ConfigurationState::result_of(
+std::optional<std::pair<ConfigurationApplyResult, Offset>> ConfigurationState::result_of(
     const AppendId& id) const {
   const auto matches = [&](const RecentChange& change) { return change.id == id; };
   const auto found = std::find_if(recent_changes_.rbegin(), recent_changes_.rend(), matches);
--- a/src/core/configuration_state.h
+++ b/src/core/configuration_state.h
@@ -15,7 +15,7 @@
 namespace stoathold {
 
 /// Result of applying a configuration change.
-enum class ApplyResult : std::uint8_t { kAccepted, kConflict, kDuplicate };
+enum class ConfigurationApplyResult : std::uint8_t { kAccepted, kConflict, kDuplicate };
 
 /// Configuration state, a pure function of the stream's entries up to `next_offset() - 1`.
 /// Not thread safe; guarded by `LockRank::kConfiguration`.
@@ -25,7 +25,7 @@
 
   /// Applies the entry at `offset`. An offset that is not newer than the last one applied is
   /// ignored as a duplicate.
-  ApplyResult apply(Offset offset, const ConfigurationEntry& entry);
+  ConfigurationApplyResult apply(Offset offset, const ConfigurationEntry& entry);
   /// Skips an offset whose entry cannot be decoded.
   void skip(Offset offset);
 
@@ -35,7 +35,8 @@
   [[nodiscard]] const Resource* find(std::string_view kind, std::string_view name) const;
   /// Returns the result and offset of a recently applied change, or nothing if it is not among
   /// them.
-  [[nodiscard]] std::optional<std::pair<ApplyResult, Offset>> result_of(const AppendId& id) const;
+  [[nodiscard]] std::optional<std::pair<ConfigurationApplyResult, Offset>> result_of(
+      const AppendId& id) const;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -45,7 +46,7 @@
  private:
   struct RecentChange {
     AppendId id;
-    ApplyResult result{};
+    ConfigurationApplyResult result{};
     Offset offset{};
 
     template <class Archive>
@@ -54,7 +55,7 @@
     }
   };
 
-  ApplyResult evaluate(const ConfigurationEntry& entry) const;
+  ConfigurationApplyResult evaluate(const ConfigurationEntry& entry) const;
 
   Offset next_offset_{1};
   std::map<Key, Resource> resources_;
--- a/src/core/configuration_system.cc
+++ b/src/core/configuration_system.cc
@@ -129,7 +129,7 @@
     }
     AnswerChange answer;
     answer.call = position->first;
-    answer.accepted = result->first == ApplyResult::kAccepted;
+    answer.accepted = result->first == ConfigurationApplyResult::kAccepted;
     answer.version = result->second;
     if (!answer.accepted) {
       answer.error = {
--- a/src/core/node_core.h
+++ b/src/core/node_core.h
@@ -17,7 +17,7 @@
 #include "core/membership.h"
 #include "core/online_requests.h"
 #include "core/runner_table.h"
-#include "core/shard_caller.h"
+#include "core/shard_client.h"
 #include "core/shard_system.h"
 
 namespace stoathold {
--- a/src/core/online_requests.h
+++ b/src/core/online_requests.h
@@ -16,7 +16,7 @@
 #include "core/effects.h"
 #include "core/knobs.h"
 #include "core/runner_table.h"
-#include "core/shard_caller.h"
+#include "core/shard_client.h"
 
 namespace stoathold {
 
--- a/src/core/shard_caller.cc
+++ b/src/core/shard_client.cc
@@ -1,4 +1,4 @@
-#include "core/shard_caller.h"
+#include "core/shard_client.h"
 
 #include <algorithm>
 #include <mutex>
--- a/src/core/shard_replica.cc
+++ b/src/core/shard_replica.cc
@@ -156,7 +156,7 @@
 }
 
 void ShardReplica::apply_decoded(Offset offset, const ShardEntry& entry, TimePoint now) {
-  const ApplyResult result = state_.apply(offset, entry);
+  const ShardApplyResult result = state_.apply(offset, entry);
   changed_ = true;
   ++entries_since_snapshot_;
   last_change_ = now;
@@ -165,8 +165,8 @@
     resolve_pending_append(result);
 }
 
-void ShardReplica::resolve_pending_append(ApplyResult result) {
-  const bool applied = result != ApplyResult::kFenced;
+void ShardReplica::resolve_pending_append(ShardApplyResult result) {
+  const bool applied = result != ShardApplyResult::kFenced;
   for (const std::uint64_t operation : pending_append_->operations) {
     resolved_.push_back({operation, applied});
   }
@@ -184,7 +184,7 @@
   if (!pending_append_) return;
   const auto* claim = std::get_if<LeaseClaimed>(&pending_append_->entry.records.front());
   const bool claim_undecided = claim != nullptr && claim->expected_epoch == state_.epoch();
-  if (!claim_undecided) resolve_pending_append(ApplyResult::kFenced);
+  if (!claim_undecided) resolve_pending_append(ShardApplyResult::kFenced);
 }
 
 bool ShardReplica::may_claim(const LeaseView& view) const {
--- a/src/core/shard_replica.h
+++ b/src/core/shard_replica.h
@@ -116,7 +116,7 @@
                     Epoch epoch, TimePoint now, Effects& effects);
   void apply_entry(const LogEntry& entry, TimePoint now);
   void apply_decoded(Offset offset, const ShardEntry& entry, TimePoint now);
-  void resolve_pending_append(ApplyResult result);
+  void resolve_pending_append(ShardApplyResult result);
   void discard_if_fenced();
   void claim_lease_if_allowed(const LeaseView& view, TimePoint now, Effects& effects);
   void maintain_lease(const LeaseView& view, TimePoint now, Effects& effects);
--- a/src/core/shard_state.cc
+++ b/src/core/shard_state.cc
@@ -7,7 +7,7 @@
 
 namespace stoathold {
 
-ApplyResult ShardState::apply(Offset offset, const ShardEntry& entry) {
+ShardApplyResult ShardState::apply(Offset offset, const ShardEntry& entry) {
   next_offset_ = next_of(offset);
   if (entry.records.size() == 1) {
     if (const auto* claim = std::get_if<LeaseClaimed>(&entry.records.front())) {
@@ -16,25 +16,25 @@
   }
   const LeaseHolder writer{entry.id.writer, entry.id.incarnation};
   const bool from_holder = entry.epoch == epoch_ && writer == holder_;
-  if (!from_holder && policy_switches().fence_by_epoch) return ApplyResult::kFenced;
+  if (!from_holder && policy_switches().fence_by_epoch) return ShardApplyResult::kFenced;
   if (entry.id.sequence <= last_sequence_ && policy_switches().drop_repeated_appends) {
-    return ApplyResult::kDuplicateAppend;
+    return ShardApplyResult::kDuplicateAppend;
   }
   last_sequence_ = entry.id.sequence;
   for (const auto& record : entry.records) {
     std::visit([&](const auto& typed) { apply_record(offset, typed); }, record);
   }
-  return ApplyResult::kApplied;
+  return ShardApplyResult::kApplied;
 }
 
-ApplyResult ShardState::apply_claim(Offset offset, const ShardEntry& entry,
-                                    const LeaseClaimed& claim) {
-  if (claim.expected_epoch != epoch_) return ApplyResult::kFenced;
+ShardApplyResult ShardState::apply_claim(Offset offset, const ShardEntry& entry,
+                                         const LeaseClaimed& claim) {
+  if (claim.expected_epoch != epoch_) return ShardApplyResult::kFenced;
   epoch_ = Epoch{value_of(offset)};
   holder_ = {entry.id.writer, entry.id.incarnation};
   last_sequence_ = entry.id.sequence;
   pending_.clear();
-  return ApplyResult::kApplied;
+  return ShardApplyResult::kApplied;
 }
 
 void ShardState::apply_record(Offset offset, const ItemsSubmitted& record) {
--- a/src/core/shard_state.h
+++ b/src/core/shard_state.h
@@ -61,7 +61,7 @@
 };
 
 /// Result of applying one entry.
-enum class ApplyResult : std::uint8_t {
+enum class ShardApplyResult : std::uint8_t {
   kApplied,          ///< Its records took effect.
   kFenced,           ///< Its epoch is not current, or another lease claim came first.
   kDuplicateAppend,  ///< The same append is already present earlier in the log.
@@ -75,7 +75,7 @@
 class ShardState {
  public:
   /// Applies the entry at `offset`, which must be `next_offset()`.
-  ApplyResult apply(Offset offset, const ShardEntry& entry);
+  ShardApplyResult apply(Offset offset, const ShardEntry& entry);
   /// Skips an entry that cannot be decoded, so that one corrupt entry does not block the shard.
   void skip(Offset offset) { next_offset_ = next_of(offset); }
 
@@ -99,7 +99,7 @@
     std::vector<ItemRun> runs;
   };
 
-  ApplyResult apply_claim(Offset offset, const ShardEntry& entry, const LeaseClaimed& claim);
+  ShardApplyResult apply_claim(Offset offset, const ShardEntry& entry, const LeaseClaimed& claim);
   void apply_record(Offset offset, const ItemsSubmitted& record);
   void apply_record(Offset offset, const JobCommitted& record);
   void apply_record(Offset offset, const JobCancelled& record);
--- a/src/ctl/log_story.cc
+++ b/src/ctl/log_timeline.cc
@@ -1,4 +1,4 @@
-#include "ctl/log_story.h"
+#include "ctl/log_timeline.h"
 
 #include <algorithm>
 #include <array>
--- a/src/gateway/fair_shares.h
+++ b/src/gateway/fair_shares.h
@@ -10,10 +10,10 @@
 #include <utility>
 #include <vector>
 
-#include "admission/fair_turns.h"
-#include "admission/kind_watch.h"
+#include "admission/fair_share_ranker.h"
 #include "admission/load_policy.h"
-#include "admission/share_ledger.h"
+#include "admission/priority_inversion_monitor.h"
+#include "admission/slot_time_ledger.h"
 #include "routing/configuration.h"
 #include "routing/load_messages.h"
 #include "routing/peer_loads.h"
--- a/src/gateway/online_admission.cc
+++ b/src/gateway/online_admission.cc
@@ -7,7 +7,7 @@
 #include "base/ids.h"
 #include "base/log_fields.h"
 #include "base/random.h"
-#include "base/saturated.h"
+#include "base/saturating_cast.h"
 
 namespace stoathold {
 namespace {
--- a/src/gateway/online_admission.h
+++ b/src/gateway/online_admission.h
@@ -12,9 +12,9 @@
 
 #include "admission/admission_control.h"
 #include "admission/load_policy.h"
-#include "admission/return_times.h"
-#include "admission/returning_callers.h"
-#include "admission/slot_times.h"
+#include "admission/retry_bookings.h"
+#include "admission/retry_times.h"
+#include "admission/slot_time_estimator.h"
 #include "admission/zone_backlog.h"
 #include "gateway/gateway_metrics.h"
 #include "quarantine/request_content.h"
--- a/src/gateway/online_relay.cc
+++ b/src/gateway/online_relay.cc
@@ -5,7 +5,7 @@
 #include "base/ids.h"
 #include "gateway/headers.h"
 #include "gateway/online_request.h"
-#include "gateway/runner_answer.h"
+#include "gateway/runner_response.h"
 
 namespace stoathold {
 namespace {
--- a/src/gateway/online_request.cc
+++ b/src/gateway/online_request.cc
@@ -9,7 +9,7 @@
 #include "base/log_fields.h"
 #include "gateway/headers.h"
 #include "gateway/prompt_prefix.h"
-#include "gateway/runner_answer.h"
+#include "gateway/runner_response.h"
 #include "net/http_target.h"
 #include "routing/runner_selector.h"
 
--- a/src/gateway/answer_pace.h
+++ b/src/gateway/response_duration_estimator.h
@@ -11,7 +11,7 @@
 #include "base/quantities.h"
 #include "base/time.h"
 #include "routing/latency_quantile.h"
-#include "routing/route_pace.h"
+#include "routing/route_stream_rate.h"
 
 namespace stoathold {
 
--- a/src/gateway/runner_answer.cc
+++ b/src/gateway/runner_response.cc
@@ -1,4 +1,4 @@
-#include "gateway/runner_answer.h"
+#include "gateway/runner_response.h"
 
 #include <utility>
 
--- a/src/jobs/item_run.cc
+++ b/src/jobs/item_run.cc
@@ -10,7 +10,7 @@
 #include "gateway/choice_fields.h"
 #include "gateway/headers.h"
 #include "gateway/prompt_prefix.h"
-#include "gateway/runner_answer.h"
+#include "gateway/runner_response.h"
 #include "routing/runner_selector.h"
 #include "store/backoff.h"
 
--- a/src/jobs/job_data_log.h
+++ b/src/jobs/job_data_log.h
@@ -10,12 +10,12 @@
 
 #include "jobs/job_records.h"
 #include "jobs/listed_results.h"
-#include "store/append_size.h"
-#include "store/append_until.h"
-#include "store/newest_read.h"
-#include "store/read_bounds.h"
-#include "store/read_turns.h"
+#include "store/adaptive_append_size.h"
+#include "store/adaptive_read_limits.h"
+#include "store/append_with_retry.h"
+#include "store/read_semaphore.h"
 #include "store/record_log.h"
+#include "store/resumable_newest_read.h"
 
 namespace stoathold {
 
--- a/src/jobs/job_runner.h
+++ b/src/jobs/job_runner.h
@@ -9,7 +9,7 @@
 #include <set>
 #include <string>
 
-#include "admission/shared_room.h"
+#include "admission/shared_budget.h"
 #include "base/timer.h"
 #include "gateway/gateway_context.h"
 #include "jobs/checkpoint_table.h"
@@ -69,7 +69,7 @@
     std::vector<JobItem> items;
     std::map<std::uint32_t, ItemRequest> requests;  ///< Requests of waiting items, by item.
     std::map<std::uint32_t, std::shared_ptr<ItemRun>> runs;
-    RoomHolder capacity_key;  ///< Account charged for its items; set before any request is read.
+    RoomHolder budget_owner;  ///< Account charged for its items; set before any request is read.
     std::uint64_t finished_tokens = 0;
     std::set<std::uint32_t> unfinished_items;  ///< Items without a durable result.
     bool stopped = false;
@@ -97,7 +97,7 @@
   void start_waiting_items();
   /// Returns whether the limits allow reading more requests of the job.
   [[nodiscard]] bool can_read_requests(const JobKey& key) const;
-  [[nodiscard]] RoomHolder capacity_key_of(const JobKey& key, const ActiveJob& job) const;
+  [[nodiscard]] RoomHolder budget_owner_of(const JobKey& key, const ActiveJob& job) const;
   /// Starts the first waiting item that the concurrency limits admit.
   /// @return false if there is none.
   bool start_next_item();
@@ -133,10 +133,10 @@
   TimePoint started_{};
   MembersListener members_listener_;
   std::size_t running_items_ = 0;
-  SharedRoom running_capacity_;       ///< Limits items that run or wait for a runner's slot.
-  SharedRoom waiting_capacity_;       ///< Limits items that wait to be started.
-  SharedRoom request_byte_capacity_;  ///< Limits request bytes of waiting and running items.
-  HeldRequests held_requests_;        ///< Charges those bytes to the process memory budget.
+  SharedRoom running_budget_;       ///< Limits items that run or wait for a runner's slot.
+  SharedRoom waiting_budget_;       ///< Limits items that wait to be started.
+  SharedRoom request_byte_budget_;  ///< Limits request bytes of waiting and running items.
+  HeldRequests held_requests_;      ///< Charges those bytes to the process memory budget.
   bool stopping_ = false;
 };
 
--- a/src/jobs/job_store.h
+++ b/src/jobs/job_store.h
@@ -16,9 +16,9 @@
 #include "jobs/job_records.h"
 #include "jobs/job_table.h"
 #include "jobs/listed_results.h"
-#include "store/append_until.h"
-#include "store/newest_read.h"
-#include "store/shared_read.h"
+#include "store/append_with_retry.h"
+#include "store/coalesced_read.h"
+#include "store/resumable_newest_read.h"
 
 namespace stoathold {
 
--- a/src/jobs/result_writer.h
+++ b/src/jobs/result_writer.h
@@ -10,7 +10,7 @@
 
 #include "base/memory_budget.h"
 #include "jobs/job_store.h"
-#include "store/append_size.h"
+#include "store/adaptive_append_size.h"
 
 namespace stoathold {
 
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "net/server_bounds.h"
+#include "net/server_resource_limits.h"
 
 namespace stoathold {
 
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -7,7 +7,7 @@
 
 #include "base/timer.h"
 #include "net/beast_helpers.h"
-#include "net/caller_connections.h"
+#include "net/client_connections.h"
 #include "net/http.h"
 #include "net/request_reader.h"
 #include "net/server_exchange.h"
--- a/src/net/request_reader.h
+++ b/src/net/request_reader.h
@@ -8,9 +8,9 @@
 #include <optional>
 #include <string_view>
 
-#include "net/byte_holders.h"
 #include "net/http.h"
-#include "net/server_bounds.h"
+#include "net/reclaimable_buffer.h"
+#include "net/server_resource_limits.h"
 
 namespace stoathold {
 
--- a/src/net/answer_backlog.cc
+++ b/src/net/response_write_buffer.cc
@@ -1,4 +1,4 @@
-#include "net/answer_backlog.h"
+#include "net/response_write_buffer.h"
 
 #include <boost/asio.hpp>
 
--- a/src/net/answer_backlog.h
+++ b/src/net/response_write_buffer.h
@@ -11,8 +11,8 @@
 #include <string_view>
 
 #include "base/timer.h"
-#include "net/byte_holders.h"
-#include "net/server_bounds.h"
+#include "net/reclaimable_buffer.h"
+#include "net/server_resource_limits.h"
 
 namespace stoathold {
 
--- a/src/net/server_exchange.h
+++ b/src/net/server_exchange.h
@@ -11,9 +11,9 @@
 #include <string_view>
 #include <vector>
 
-#include "net/answer_backlog.h"
 #include "net/http.h"
-#include "net/server_bounds.h"
+#include "net/response_write_buffer.h"
+#include "net/server_resource_limits.h"
 
 namespace stoathold {
 
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -5,7 +5,7 @@
 
 #include "base/event_log.h"
 #include "base/ids.h"
-#include "base/saturated.h"
+#include "base/saturating_cast.h"
 
 namespace stoathold {
 namespace {
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -11,7 +11,7 @@
 
 #include "base/time.h"
 #include "quarantine/quarantine_messages.h"
-#include "quarantine/runner_end_table.h"
+#include "quarantine/runner_exit_table.h"
 
 namespace stoathold {
 
--- a/src/quarantine/runner_end_table.cc
+++ b/src/quarantine/runner_exit_table.cc
@@ -1,4 +1,4 @@
-#include "quarantine/runner_end_table.h"
+#include "quarantine/runner_exit_table.h"
 
 #include <algorithm>
 
--- a/src/routing/batch_turns.cc
+++ b/src/routing/batch_arbiter.cc
@@ -1,4 +1,4 @@
-#include "routing/batch_turns.h"
+#include "routing/batch_arbiter.h"
 
 #include <algorithm>
 
--- a/src/routing/configuration_confirmation.h
+++ b/src/routing/configuration_confirmation.h
@@ -6,8 +6,8 @@
 #include <functional>
 
 #include "routing/configuration_position.h"
+#include "store/coalesced_read.h"
 #include "store/record_log.h"
-#include "store/shared_read.h"
 
 namespace stoathold {
 
--- a/src/routing/slow_answers.cc
+++ b/src/routing/latency_outliers.cc
@@ -1,4 +1,4 @@
-#include "routing/slow_answers.h"
+#include "routing/latency_outliers.h"
 
 #include <algorithm>
 
--- a/src/routing/load_messages.h
+++ b/src/routing/load_messages.h
@@ -8,12 +8,12 @@
 #include <vector>
 
 #include "admission/backlog_report.h"
-#include "admission/return_report.h"
-#include "admission/share_report.h"
+#include "admission/retry_booking_report.h"
+#include "admission/slot_time_report.h"
 #include "base/time.h"
 #include "quarantine/quarantine_messages.h"
-#include "routing/batch_turns.h"
-#include "routing/route_pace.h"
+#include "routing/batch_arbiter.h"
+#include "routing/route_stream_rate.h"
 #include "routing/slot_loan_messages.h"
 #include "routing/speed_report.h"
 #include "tenancy/tenant_usage.h"
--- a/src/routing/peer_loads.cc
+++ b/src/routing/peer_loads.cc
@@ -6,7 +6,7 @@
 
 #include "base/event_log.h"
 #include "base/ids.h"
-#include "base/saturated.h"
+#include "base/saturating_cast.h"
 #include "net/http.h"
 
 namespace stoathold {
--- a/src/routing/placement_queue.cc
+++ b/src/routing/placement_queue.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "base/saturated.h"
+#include "base/saturating_cast.h"
 
 namespace stoathold {
 namespace {
--- a/src/routing/placement_queue_views.cc
+++ b/src/routing/placement_queue_views.cc
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "base/ids.h"
-#include "base/saturated.h"
+#include "base/saturating_cast.h"
 #include "routing/placement_queue.h"
 
 namespace stoathold {
--- a/src/routing/runner_room.cc
+++ b/src/routing/runner_memory_estimate.cc
@@ -1,4 +1,4 @@
-#include "routing/runner_room.h"
+#include "routing/runner_memory_estimate.h"
 
 #include <algorithm>
 
--- a/src/routing/runner_registry.h
+++ b/src/routing/runner_registry.h
@@ -17,7 +17,7 @@
 #include "routing/peer_ejections.h"
 #include "routing/runner_errors.h"
 #include "routing/runner_identity.h"
-#include "routing/runner_room.h"
+#include "routing/runner_memory_estimate.h"
 #include "routing/runner_speed.h"
 
 namespace stoathold {
--- a/src/routing/runner_selector.h
+++ b/src/routing/runner_selector.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "routing/batch_turns.h"
+#include "routing/batch_arbiter.h"
 #include "routing/runner_registry.h"
 #include "routing/runner_speed.h"
 
--- a/src/routing/runner_speed.cc
+++ b/src/routing/runner_speed.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "base/saturated.h"
+#include "base/saturating_cast.h"
 
 namespace stoathold {
 namespace {
--- a/src/routing/runner_speed.h
+++ b/src/routing/runner_speed.h
@@ -12,7 +12,7 @@
 #include <optional>
 
 #include "base/time.h"
-#include "routing/slow_answers.h"
+#include "routing/latency_outliers.h"
 #include "routing/speed_report.h"
 
 namespace stoathold {
--- a/src/routing/slot_loans.cc
+++ b/src/routing/slot_loans.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "base/ids.h"
-#include "base/saturated.h"
+#include "base/saturating_cast.h"
 
 namespace stoathold {
 namespace {
--- a/src/server/caller_api.cc
+++ b/src/server/caller_api.cc
@@ -6,7 +6,7 @@
 #include "base/event_log.h"
 #include "net/http_target.h"
 #include "server/chat_request.h"
-#include "server/refusal.h"
+#include "server/error_response.h"
 
 namespace stoathold {
 namespace {
--- a/src/server/chat_request.cc
+++ b/src/server/chat_request.cc
@@ -3,7 +3,7 @@
 #include <boost/json.hpp>
 
 #include "base/ids.h"
-#include "server/refusal.h"
+#include "server/error_response.h"
 
 namespace stoathold {
 namespace {
--- a/src/server/refusal.cc
+++ b/src/server/error_response.cc
@@ -1,4 +1,4 @@
-#include "server/refusal.h"
+#include "server/error_response.h"
 
 #include <boost/json.hpp>
 
--- a/src/server/node_runtime.h
+++ b/src/server/node_runtime.h
@@ -18,7 +18,7 @@
 #include "net/log_client.h"
 #include "net/machine_list_client.h"
 #include "net/peer_transport.h"
-#include "server/node_change_log.h"
+#include "server/node_state_logger.h"
 #include "server/one_shot.h"
 #include "server/online_session.h"
 #include "server/settings.h"
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -8,13 +8,13 @@
 #include <vector>
 
 #include "base/event_log.h"
-#include "base/signal_hold.h"
+#include "base/signal_mask.h"
 #include "base/timer.h"
 #include "net/http.h"
 #include "server/caller_api.h"
+#include "server/error_response.h"
 #include "server/node_runtime.h"
 #include "server/operator_api.h"
-#include "server/refusal.h"
 
 namespace stoathold {
 namespace {
--- a/src/server/node_change_log.cc
+++ b/src/server/node_state_logger.cc
@@ -1,4 +1,4 @@
-#include "server/node_change_log.h"
+#include "server/node_state_logger.h"
 
 #include "base/event_log.h"
 
--- a/src/server/online_session.cc
+++ b/src/server/online_session.cc
@@ -4,7 +4,7 @@
 
 #include "base/timer.h"
 #include "net/event_splitter.h"
-#include "server/refusal.h"
+#include "server/error_response.h"
 
 namespace stoathold {
 namespace {
--- a/src/server/operator_api.cc
+++ b/src/server/operator_api.cc
@@ -8,8 +8,8 @@
 #include "base/event_log.h"
 #include "base/timer.h"
 #include "net/http_target.h"
+#include "server/error_response.h"
 #include "server/metrics.h"
-#include "server/refusal.h"
 
 namespace stoathold {
 namespace {
--- a/src/store/append_until.cc
+++ b/src/store/append_with_retry.cc
@@ -1,4 +1,4 @@
-#include "store/append_until.h"
+#include "store/append_with_retry.h"
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/use_awaitable.hpp>
--- a/src/store/shared_read.cc
+++ b/src/store/coalesced_read.cc
@@ -1,4 +1,4 @@
-#include "store/shared_read.h"
+#include "store/coalesced_read.h"
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/co_spawn.hpp>
--- a/src/store/partition_replica.h
+++ b/src/store/partition_replica.h
@@ -8,10 +8,10 @@
 #include <memory>
 
 #include "base/time.h"
-#include "store/newest_read.h"
-#include "store/read_bounds.h"
+#include "store/adaptive_read_limits.h"
+#include "store/coalesced_read.h"
 #include "store/record_log.h"
-#include "store/shared_read.h"
+#include "store/resumable_newest_read.h"
 
 namespace stoathold {
 
--- a/src/store/read_turns.cc
+++ b/src/store/read_semaphore.cc
@@ -1,4 +1,4 @@
-#include "store/read_turns.h"
+#include "store/read_semaphore.h"
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/this_coro.hpp>
--- a/src/store/newest_read.cc
+++ b/src/store/resumable_newest_read.cc
@@ -1,4 +1,4 @@
-#include "store/newest_read.h"
+#include "store/resumable_newest_read.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/tenancy/tenant_gossip.h
+++ b/src/tenancy/tenant_gossip.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "tenancy/tenant_limits.h"
+#include "tenancy/tenant_rate_limiter.h"
 #include "tenancy/tenant_usage.h"
 
 namespace stoathold {
--- a/tests/admission/admission_many_nodes_test.cc
+++ b/tests/admission/admission_many_nodes_test.cc
@@ -10,7 +10,7 @@
 // retries make busier than the peak of first arrivals, with 10% tolerance for random variation.
 #include <gtest/gtest.h>
 
-#include "tests/admission/admission_replay.h"
+#include "tests/admission/admission_simulation.h"
 
 namespace stoathold::admission_replay {
 namespace {
--- a/tests/admission/admission_replay.h
+++ b/tests/admission/admission_simulation.h
@@ -14,8 +14,8 @@
 #include <vector>
 
 #include "admission/admission_control.h"
-#include "admission/return_times.h"
-#include "admission/returning_callers.h"
+#include "admission/retry_bookings.h"
+#include "admission/retry_times.h"
 #include "admission/zone_backlog.h"
 #include "base/random.h"
 #include "base/time.h"
--- a/tests/admission/admission_replay_test.cc
+++ b/tests/admission/admission_simulation_test.cc
@@ -9,7 +9,7 @@
 // The bounds follow from the callers' requirements: an answer is on time within 300 ms, so the 99th
 // percentile wait of served requests must not exceed that, and a rejection is justified only if no
 // slot is idle.
-#include "tests/admission/admission_replay.h"
+#include "tests/admission/admission_simulation.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/admission/compare_admission.cc
+++ b/tests/admission/compare_admission.cc
@@ -2,7 +2,7 @@
 // arrivals.
 #include <cstdio>
 
-#include "tests/admission/admission_replay.h"
+#include "tests/admission/admission_simulation.h"
 
 namespace {
 
--- a/tests/admission/compare_shares.cc
+++ b/tests/admission/compare_shares.cc
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <numeric>
 
-#include "tests/admission/share_ways.h"
+#include "tests/admission/fair_share_strategies.h"
 
 namespace {
 
--- a/tests/admission/fair_turns_test.cc
+++ b/tests/admission/fair_share_ranker_test.cc
@@ -5,13 +5,13 @@
 /// get at least 95% of their throughput without the flood, so that their callers do not notice it.
 /// At 89 nodes a node gets some 3 requests per second, too few to detect the flood from its own
 /// counts alone.
-#include "admission/fair_turns.h"
+#include "admission/fair_share_ranker.h"
 
 #include <gtest/gtest.h>
 
 #include <numeric>
 
-#include "tests/admission/share_ways.h"
+#include "tests/admission/fair_share_strategies.h"
 
 namespace stoathold {
 namespace {
--- a/tests/admission/share_replay.h
+++ b/tests/admission/fair_share_simulation.h
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "admission/fair_turns.h"
+#include "admission/fair_share_ranker.h"
 #include "base/random.h"
 
 namespace stoathold::share_replay {
--- a/tests/admission/share_ways.h
+++ b/tests/admission/fair_share_strategies.h
@@ -6,7 +6,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "tests/admission/share_replay.h"
+#include "tests/admission/fair_share_simulation.h"
 
 namespace stoathold::share_replay {
 
--- a/tests/admission/kind_watch_test.cc
+++ b/tests/admission/priority_inversion_monitor_test.cc
@@ -1,4 +1,4 @@
-#include "admission/kind_watch.h"
+#include "admission/priority_inversion_monitor.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/admission/returning_callers_test.cc
+++ b/tests/admission/retry_bookings_test.cc
@@ -1,4 +1,4 @@
-#include "admission/returning_callers.h"
+#include "admission/retry_bookings.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/admission/shared_room_test.cc
+++ b/tests/admission/shared_budget_test.cc
@@ -4,7 +4,7 @@
 /// items are kept from them, and what a node has acquired for them is not released. A single job
 /// must get as much as without sharing (256 items at a node), and each newcomer at least one item
 /// at once, since otherwise it gets nothing for as long as the others are stuck.
-#include "admission/shared_room.h"
+#include "admission/shared_budget.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/core/configuration_state_test.cc
+++ b/tests/core/configuration_state_test.cc
@@ -13,9 +13,11 @@
 
 TEST(ConfigurationStateTest, FirstOfConflictingChangesInLogOrderWins) {
   ConfigurationState state;
-  EXPECT_EQ(state.apply(Offset{1}, entry(1, 0, "{}")), ApplyResult::kAccepted);
-  EXPECT_EQ(state.apply(Offset{2}, entry(2, 1, R"({"max_concurrent":1})")), ApplyResult::kAccepted);
-  EXPECT_EQ(state.apply(Offset{3}, entry(3, 1, R"({"max_concurrent":2})")), ApplyResult::kConflict);
+  EXPECT_EQ(state.apply(Offset{1}, entry(1, 0, "{}")), ConfigurationApplyResult::kAccepted);
+  EXPECT_EQ(state.apply(Offset{2}, entry(2, 1, R"({"max_concurrent":1})")),
+            ConfigurationApplyResult::kAccepted);
+  EXPECT_EQ(state.apply(Offset{3}, entry(3, 1, R"({"max_concurrent":2})")),
+            ConfigurationApplyResult::kConflict);
   EXPECT_EQ(state.find("Tenant", "centre")->version, Offset{2});
 }
 
@@ -23,7 +25,7 @@
   ConfigurationState state;
   state.apply(Offset{1}, entry(1, 0, "{}"));
   state.apply(Offset{2}, entry(2, 1, "", true));
-  EXPECT_EQ(state.apply(Offset{3}, entry(1, 0, "{}")), ApplyResult::kDuplicate);
+  EXPECT_EQ(state.apply(Offset{3}, entry(1, 0, "{}")), ConfigurationApplyResult::kDuplicate);
   EXPECT_EQ(state.find("Tenant", "centre"), nullptr);
 }
 
@@ -31,7 +33,7 @@
   ConfigurationState state;
   state.apply(Offset{1}, entry(1, 0, "{}"));
   state.apply(Offset{2}, entry(2, 1, R"({"max_concurrent":1})"));
-  EXPECT_EQ(state.apply(Offset{1}, entry(9, 0, "{}")), ApplyResult::kDuplicate);
+  EXPECT_EQ(state.apply(Offset{1}, entry(9, 0, "{}")), ConfigurationApplyResult::kDuplicate);
   EXPECT_EQ(state.next_offset(), Offset{3});
 }
 
@@ -40,7 +42,7 @@
   const auto change = entry(1, 5, "{}");
   EXPECT_FALSE(state.result_of(change.id));
   state.apply(Offset{1}, change);
-  EXPECT_EQ(state.result_of(change.id)->first, ApplyResult::kConflict);
+  EXPECT_EQ(state.result_of(change.id)->first, ConfigurationApplyResult::kConflict);
 }
 
 TEST(ConfigurationStateTest, EncodedStateRoundTrips) {
--- a/tests/core/shard_state_test.cc
+++ b/tests/core/shard_state_test.cc
@@ -11,8 +11,8 @@
 /// Builds entries as a node appends them, and applies them to the state.
 class ShardStateTest : public ::testing::Test {
  protected:
-  ApplyResult write(NodeId node, Epoch epoch, std::uint64_t sequence,
-                    std::vector<ShardRecord> records) {
+  ShardApplyResult write(NodeId node, Epoch epoch, std::uint64_t sequence,
+                         std::vector<ShardRecord> records) {
     const ShardEntry entry{{node, Incarnation{1}, sequence}, epoch, std::move(records)};
     return state_.apply(state_.next_offset(), entry);
   }
@@ -34,19 +34,19 @@
 TEST_F(ShardStateTest, RejectsEntryOfOlderEpoch) {
   const Epoch old_epoch = claim(kFirst, 1);
   claim(kSecond, 1);
-  EXPECT_EQ(write(kFirst, old_epoch, 2, {JobCancelled{kJob}}), ApplyResult::kFenced);
+  EXPECT_EQ(write(kFirst, old_epoch, 2, {JobCancelled{kJob}}), ShardApplyResult::kFenced);
 }
 
 TEST_F(ShardStateTest, FirstOfTwoLeaseClaimsForOneEpochWins) {
-  EXPECT_EQ(write(kFirst, Epoch{}, 1, {LeaseClaimed{Epoch{}}}), ApplyResult::kApplied);
-  EXPECT_EQ(write(kSecond, Epoch{}, 1, {LeaseClaimed{Epoch{}}}), ApplyResult::kFenced);
+  EXPECT_EQ(write(kFirst, Epoch{}, 1, {LeaseClaimed{Epoch{}}}), ShardApplyResult::kApplied);
+  EXPECT_EQ(write(kSecond, Epoch{}, 1, {LeaseClaimed{Epoch{}}}), ShardApplyResult::kFenced);
   EXPECT_EQ(state_.holder().node, kFirst);
 }
 
 TEST_F(ShardStateTest, IgnoresDuplicateAppend) {
   const Epoch epoch = claim(kFirst, 1);
-  EXPECT_EQ(write(kFirst, epoch, 2, {LeaseRenewed{}}), ApplyResult::kApplied);
-  EXPECT_EQ(write(kFirst, epoch, 2, {LeaseRenewed{}}), ApplyResult::kDuplicateAppend);
+  EXPECT_EQ(write(kFirst, epoch, 2, {LeaseRenewed{}}), ShardApplyResult::kApplied);
+  EXPECT_EQ(write(kFirst, epoch, 2, {LeaseRenewed{}}), ShardApplyResult::kDuplicateAppend);
 }
 
 TEST_F(ShardStateTest, JobExistsOnlyAfterItsCommit) {
@@ -109,7 +109,7 @@
   const Epoch epoch = claim(kFirst, 1);
   write(kFirst, epoch, 2, {LeaseReleased{}});
   EXPECT_EQ(state_.holder().node, NodeId{});
-  EXPECT_EQ(write(kFirst, epoch, 3, {LeaseRenewed{}}), ApplyResult::kFenced);
+  EXPECT_EQ(write(kFirst, epoch, 3, {LeaseRenewed{}}), ShardApplyResult::kFenced);
 }
 
 TEST_F(ShardStateTest, SnapshotRestoresState) {
--- a/tests/fuzz/world.cc
+++ b/tests/fuzz/simulated_cluster.cc
@@ -1,8 +1,8 @@
-#include "fuzz/world.h"
-
 #include <algorithm>
 #include <utility>
 
+#include "fuzz/world.h"
+
 namespace stoathold::fuzz {
 namespace {
 
--- a/tests/gateway/answer_pace_test.cc
+++ b/tests/gateway/response_duration_estimator_test.cc
@@ -1,4 +1,4 @@
-#include "gateway/answer_pace.h"
+#include "gateway/response_duration_estimator.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/net/caller_connections_test.cc
+++ b/tests/net/client_connections_test.cc
@@ -1,4 +1,4 @@
-#include "net/caller_connections.h"
+#include "net/client_connections.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/net/http_server_bounds_test.cc
+++ b/tests/net/http_server_resource_limits_test.cc
@@ -8,8 +8,8 @@
 #include <thread>
 
 #include "base/timer.h"
-#include "net/byte_holders.h"
 #include "net/http.h"
+#include "net/reclaimable_buffer.h"
 
 namespace stoathold {
 namespace {
--- a/tests/net/byte_holders_test.cc
+++ b/tests/net/reclaimable_buffer_test.cc
@@ -1,4 +1,4 @@
-#include "net/byte_holders.h"
+#include "net/reclaimable_buffer.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/routing/batch_replay.cc
+++ b/tests/routing/batch_replay.cc
@@ -10,7 +10,7 @@
 
 #include "base/ids.h"
 #include "base/random.h"
-#include "routing/batch_turns.h"
+#include "routing/batch_arbiter.h"
 
 namespace stoathold::batch_replay {
 namespace {
--- a/tests/routing/compare_slot_loans.cc
+++ b/tests/routing/compare_slot_loans.cc
@@ -9,20 +9,20 @@
 
 using stoathold::slot_loan_fleet::FleetSimulation;
 using stoathold::slot_loan_fleet::Outcome;
-using stoathold::slot_loan_fleet::PlacementPolicy;
+using stoathold::slot_loan_fleet::PlacementStrategy;
 using stoathold::slot_loan_fleet::Scenario;
 
 struct NamedPolicy {
   const char* name;
-  PlacementPolicy policy;
+  PlacementStrategy policy;
 };
 
 constexpr NamedPolicy kPolicies[] = {
-    {"reports each 250 ms, below 0.75", PlacementPolicy::kReports},
-    {"reports each 50 ms, better of two", PlacementPolicy::kFrequentReports},
-    {"loans for all that waits", PlacementPolicy::kLoansForAll},
-    {"loans for what would be late", PlacementPolicy::kLoansForLate},
-    {"one pool", PlacementPolicy::kSinglePool}};
+    {"reports each 250 ms, below 0.75", PlacementStrategy::kReports},
+    {"reports each 50 ms, better of two", PlacementStrategy::kFrequentReports},
+    {"loans for all that waits", PlacementStrategy::kLoansForAll},
+    {"loans for what would be late", PlacementStrategy::kLoansForLate},
+    {"one pool", PlacementStrategy::kSinglePool}};
 
 void print_row(std::size_t nodes, int delay_ms, double utilisation) {
   for (const NamedPolicy& named : kPolicies) {
--- a/tests/routing/slot_loan_fleet.h
+++ b/tests/routing/slot_loan_fleet.h
@@ -39,7 +39,7 @@
 inline constexpr double kMessageBytes = 60;
 inline constexpr double kEntryBytes = 10;
 
-enum class PlacementPolicy : std::uint8_t {
+enum class PlacementStrategy : std::uint8_t {
   kReports,  ///< Loads are reported every 250 ms; runners below a load of 0.75 are eligible.
   kFrequentReports,  ///< Loads are reported every 50 ms; the less loaded of two random runners with
                      ///< a free slot is selected.
@@ -50,7 +50,7 @@
 };
 
 struct Scenario {
-  PlacementPolicy policy = PlacementPolicy::kLoansForAll;
+  PlacementStrategy policy = PlacementStrategy::kLoansForAll;
   std::size_t nodes = 89;
   std::size_t zones = 3;
   Duration delay = std::chrono::milliseconds(1);  ///< One-way delay between zones.
@@ -164,8 +164,8 @@
   };
 
   [[nodiscard]] bool uses_loans() const {
-    return scenario_.policy == PlacementPolicy::kLoansForAll ||
-           scenario_.policy == PlacementPolicy::kLoansForLate;
+    return scenario_.policy == PlacementStrategy::kLoansForAll ||
+           scenario_.policy == PlacementStrategy::kLoansForLate;
   }
   void schedule(Duration delay, std::function<void()> action) {
     events_.push({now_ + delay, ++event_number_, std::move(action)});
@@ -228,8 +228,8 @@
     for (std::size_t i = 0; i < runners_.size(); ++i) {
       const std::size_t id = (start + i) % runners_.size();
       const Runner& runner = runners_[id];
-      if (runner.zone != zone && scenario_.policy != PlacementPolicy::kSinglePool) continue;
-      const double load = scenario_.policy == PlacementPolicy::kSinglePool
+      if (runner.zone != zone && scenario_.policy != PlacementStrategy::kSinglePool) continue;
+      const double load = scenario_.policy == PlacementStrategy::kSinglePool
                               ? static_cast<double>(runner.local + runner.remote) / kSlots
                               : known_load(runner);
       if (load >= best_load) continue;
@@ -278,19 +278,19 @@
       }
       return runners_.size();
     }
-    if (scenario_.policy == PlacementPolicy::kSinglePool) return runners_.size();
+    if (scenario_.policy == PlacementStrategy::kSinglePool) return runners_.size();
     const auto load = [&](std::size_t id) {
       return reported_[id] + static_cast<double>(node.sent_since_report[id]) / kSlots;
     };
     std::vector<std::size_t> candidates;
-    const double limit = scenario_.policy == PlacementPolicy::kReports ? 0.75 : 1.0;
+    const double limit = scenario_.policy == PlacementStrategy::kReports ? 0.75 : 1.0;
     for (std::size_t id = 0; id < runners_.size(); ++id) {
       const bool remote =
           runners_[id].zone != node.zone && !is_partitioned(node.zone, runners_[id].zone);
       if (remote && !request.tried.contains(id) && load(id) < limit) candidates.push_back(id);
     }
     if (candidates.empty()) return runners_.size();
-    if (scenario_.policy == PlacementPolicy::kFrequentReports) {
+    if (scenario_.policy == PlacementStrategy::kFrequentReports) {
       const std::size_t first = candidates[random_.below(candidates.size())];
       const std::size_t second = candidates[random_.below(candidates.size())];
       return load(first) <= load(second) ? first : second;
@@ -306,7 +306,7 @@
   void dispatch(Request request, std::size_t id) {
     const std::size_t from = nodes_[request.node].zone;
     Runner& runner = runners_[id];
-    if (runner.zone == from || scenario_.policy == PlacementPolicy::kSinglePool) {
+    if (runner.zone == from || scenario_.policy == PlacementStrategy::kSinglePool) {
       ++runner.local;
       enqueue_at_runner(std::move(request), id);
       return;
@@ -376,8 +376,9 @@
 
   /// Sends the loads of runners to the other zones, and the use of runners to the runners' zones.
   void send_reports(std::int64_t step) {
-    const std::int64_t interval = scenario_.policy == PlacementPolicy::kFrequentReports ? 50 : 250;
-    if (uses_loans() || scenario_.policy == PlacementPolicy::kSinglePool || step % interval != 0)
+    const std::int64_t interval =
+        scenario_.policy == PlacementStrategy::kFrequentReports ? 50 : 250;
+    if (uses_loans() || scenario_.policy == PlacementStrategy::kSinglePool || step % interval != 0)
       return;
     for (std::size_t zone = 0; zone < zones_.size(); ++zone) {
       std::map<std::size_t, double> loads;
@@ -395,7 +396,7 @@
         });
       }
     }
-    if (step % 250 != 0 && scenario_.policy == PlacementPolicy::kReports) return;
+    if (step % 250 != 0 && scenario_.policy == PlacementStrategy::kReports) return;
     std::map<std::size_t, std::uint32_t> use_by_runner;
     for (Node& node : nodes_) {
       std::size_t entries = 0;
@@ -427,7 +428,7 @@
       own_requests.push_back({1, kPlacementDeadline - (now_ - request.arrival),
                               scale(std::chrono::seconds(1), kSlotSeconds)});
     }
-    if (scenario_.policy == PlacementPolicy::kLoansForAll)
+    if (scenario_.policy == PlacementStrategy::kLoansForAll)
       return static_cast<std::uint16_t>(own_requests.size());
     const ZoneCapacity capacity{zone_slots,
                                 static_cast<double>(waiting.size() - own_requests.size())};
--- a/tests/routing/slot_loan_replay_test.cc
+++ b/tests/routing/slot_loan_replay_test.cc
@@ -25,13 +25,13 @@
 }
 
 TEST(SlotLoanReplayTest, LoansMatchSinglePoolWithFewRejections) {
-  Scenario scenario{.policy = PlacementPolicy::kReports, .utilisation = 0.96, .seconds = 5};
+  Scenario scenario{.policy = PlacementStrategy::kReports, .utilisation = 0.96, .seconds = 5};
   const Outcome reports = simulate(scenario);
-  scenario.policy = PlacementPolicy::kFrequentReports;
+  scenario.policy = PlacementStrategy::kFrequentReports;
   const Outcome frequent_reports = simulate(scenario);
-  scenario.policy = PlacementPolicy::kLoansForLate;
+  scenario.policy = PlacementStrategy::kLoansForLate;
   const Outcome loans = simulate(scenario);
-  scenario.policy = PlacementPolicy::kSinglePool;
+  scenario.policy = PlacementStrategy::kSinglePool;
   const Outcome pool = simulate(scenario);
   EXPECT_GT(reports.late_all, 10 * loans.late_all);
   EXPECT_GT(frequent_reports.late_all, loans.late_all);
@@ -39,7 +39,7 @@
   EXPECT_LE(loans.late_all, pool.late_all + kMaxExtraLatePercent);
   EXPECT_LE(loans.shed, reports.shed / 10);
   // Requests that get a slot of their own zone within their slack cause no messages.
-  scenario.policy = PlacementPolicy::kLoansForAll;
+  scenario.policy = PlacementStrategy::kLoansForAll;
   EXPECT_LT(loans.messages, simulate(scenario).messages);
 }
 
@@ -47,12 +47,12 @@
 
 TEST_P(SlotLoanSizesTest, LoansMatchSinglePool) {
   const auto [nodes, delay_ms] = GetParam();
-  Scenario scenario{.policy = PlacementPolicy::kLoansForLate,
+  Scenario scenario{.policy = PlacementStrategy::kLoansForLate,
                     .nodes = nodes,
                     .delay = std::chrono::milliseconds(delay_ms),
                     .seconds = nodes > 100 ? 2.0 : 4.0};
   const Outcome loans = simulate(scenario);
-  scenario.policy = PlacementPolicy::kSinglePool;
+  scenario.policy = PlacementStrategy::kSinglePool;
   const Outcome pool = simulate(scenario);
   EXPECT_GE(in_time_percent(loans) * kMaxPoolRatio, in_time_percent(pool));
   EXPECT_LE(loans.max_held, kSlots);
@@ -67,7 +67,7 @@
   // Messages that were in transit when the partition began still arrive.
   const Duration delay = std::chrono::milliseconds(10);
   const double partitioned_from = 2;
-  Scenario scenario{.policy = PlacementPolicy::kLoansForLate,
+  Scenario scenario{.policy = PlacementStrategy::kLoansForLate,
                     .delay = delay,
                     .seconds = partitioned_from + to_seconds(kLoanLifetime + delay) + 0.002,
                     .partitioned_from = partitioned_from};
@@ -81,21 +81,21 @@
 
 TEST(SlotLoanReplayTest, LostMessagesLendNoSlotTwice) {
   const Outcome outcome =
-      simulate({.policy = PlacementPolicy::kLoansForLate, .seconds = 4, .loss = 0.1});
+      simulate({.policy = PlacementStrategy::kLoansForLate, .seconds = 4, .loss = 0.1});
   EXPECT_EQ(outcome.unaccounted, 0U);
   EXPECT_LE(outcome.max_held, kSlots);
 }
 
 TEST(SlotLoanReplayTest, DuplicateAndLateMessagesLendNoSlotTwice) {
   const Outcome outcome =
-      simulate({.policy = PlacementPolicy::kLoansForLate, .seconds = 4, .duplicated = 0.3});
+      simulate({.policy = PlacementStrategy::kLoansForLate, .seconds = 4, .duplicated = 0.3});
   EXPECT_EQ(outcome.unaccounted, 0U);
   EXPECT_LE(outcome.max_held, kSlots);
 }
 
 TEST(SlotLoanReplayTest, RestartedLendersLendNoSlotTwice) {
   const Outcome outcome =
-      simulate({.policy = PlacementPolicy::kLoansForLate, .seconds = 4, .restart_at = 2});
+      simulate({.policy = PlacementStrategy::kLoansForLate, .seconds = 4, .restart_at = 2});
   EXPECT_LE(outcome.max_held, kSlots);
 }
 
--- a/tests/store/shared_read_test.cc
+++ b/tests/store/coalesced_read_test.cc
@@ -1,4 +1,4 @@
-#include "store/shared_read.h"
+#include "store/coalesced_read.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/store/compare_list_reads.cc
+++ b/tests/store/compare_list_reads.cc
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <utility>
 
-#include "tests/store/list_read_fleet.h"
+#include "tests/store/list_read_simulation.h"
 
 namespace stoathold {
 namespace {
--- a/tests/store/list_read_fleet.h
+++ b/tests/store/list_read_simulation.h
@@ -13,8 +13,8 @@
 #include <vector>
 
 #include "base/random.h"
+#include "store/adaptive_read_limits.h"
 #include "store/backoff.h"
-#include "store/read_bounds.h"
 
 namespace stoathold {
 
--- a/tests/store/list_read_fleet_test.cc
+++ b/tests/store/list_read_simulation_test.cc
@@ -1,4 +1,4 @@
-#include "tests/store/list_read_fleet.h"
+#include "tests/store/list_read_simulation.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/tenancy/compare_limits.cc
+++ b/tests/tenancy/compare_limits.cc
@@ -3,7 +3,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "tests/tenancy/limit_fleet.h"
+#include "tests/tenancy/rate_limit_simulation.h"
 
 namespace stoathold::limit_fleet {
 namespace {
--- a/tests/tenancy/limit_fleet.h
+++ b/tests/tenancy/rate_limit_simulation.h
@@ -16,7 +16,7 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "tenancy/tenant_gossip.h"
-#include "tenancy/tenant_limits.h"
+#include "tenancy/tenant_rate_limiter.h"
 
 namespace stoathold::limit_fleet {
 
--- a/tests/tenancy/tenant_fleet_test.cc
+++ b/tests/tenancy/tenant_fleet_test.cc
@@ -2,7 +2,7 @@
 // window, and the rejections of requests that a single global bucket would have admitted.
 #include <gtest/gtest.h>
 
-#include "tests/tenancy/limit_fleet.h"
+#include "tests/tenancy/rate_limit_simulation.h"
 
 namespace stoathold::limit_fleet {
 namespace {
--- a/tests/tenancy/tenant_limits_test.cc
+++ b/tests/tenancy/tenant_rate_limiter_test.cc
@@ -1,4 +1,4 @@
-#include "tenancy/tenant_limits.h"
+#include "tenancy/tenant_rate_limiter.h"
 
 #include <gtest/gtest.h>
 
