--- a/apps/node_main.cc
+++ b/apps/node_main.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  stoathold::hold_signals();
+  stoathold::block_signals();
   CLI::App app{"A stoathold node: serves callers and operators as a member of a fleet."};
   std::string file;
   bool check_only = false;
--- a/apps/platform_main.cc
+++ b/apps/platform_main.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  stoathold::hold_signals();
+  stoathold::block_signals();
   CLI::App app{"A stoathold node on the platform: serves online and batch inference."};
   std::string file;
   bool check_only = false;
--- a/bench/decide.cc
+++ b/bench/decide.cc
@@ -27,7 +27,7 @@
     const Pick pick = table.pick({"assistant", 16, ++prefix, {}}, now);
     benchmark::DoNotOptimize(pick.runner);
     table.on_stream_started(pick.runner);
-    table.on_stream_ended(pick.runner, StreamVerdict::kSucceeded, now);
+    table.on_stream_ended(pick.runner, StreamResult::kSucceeded, now);
   }
 }
 
--- a/bench/quarantine.cc
+++ b/bench/quarantine.cc
@@ -33,7 +33,7 @@
 void arrival_with_requests_in_quarantine(benchmark::State& state) {
   Quarantine quarantine = make_quarantine();
   for (std::uint64_t content = 1; content <= 100; ++content) {
-    quarantine.take_record(ContentHash{content}, {.since_ms = 0, .ends = 3}, monotonic_now(), 0);
+    quarantine.apply_record(ContentHash{content}, {.since_ms = 0, .exits = 3}, monotonic_now(), 0);
   }
   const std::string body(static_cast<std::size_t>(state.range(0)), 'x');
   for (auto _ : state) benchmark::DoNotOptimize(check(quarantine, body));
@@ -48,12 +48,12 @@
   const auto end_with = [&](std::int64_t requests) {
     ++runner;
     for (std::int64_t i = 0; i < requests; ++i) {
-      quarantine.note_end({ContentHash{++content}, runner, RunStage::kWaiting, kNow});
+      quarantine.record_runner_exit({ContentHash{++content}, runner, RunStage::kWaiting, kNow});
     }
-    while (!quarantine.take_zone_reports(kNow).empty()) {
+    while (!quarantine.next_zone_reports(kNow).empty()) {
     }
   };
-  while (quarantine.suspects() < kFullTable) end_with(state.range(0));
+  while (quarantine.suspect_count() < kFullTable) end_with(state.range(0));
   for (auto _ : state) end_with(state.range(0));
 }
 
--- a/bench/server_memory.cc
+++ b/bench/server_memory.cc
@@ -45,7 +45,7 @@
       : server_(loop_.get_executor(), "127.0.0.1:0", HttpLimits{}, respond, LoopThreads::kOne),
         client_(loop_.get_executor(), LoopThreads::kOne) {
     budget_.set_limit(budget);
-    server_.set_bounds({&budget_, 0, {}});
+    server_.set_resource_limits({&budget_, 0, {}});
     server_.start();
   }
 
--- a/emulator/emulated_service.h
+++ b/emulator/emulated_service.h
@@ -70,8 +70,8 @@
 /// Creates an inference runner of the users' platform. Admin requests: `POST /admin/faults` with
 /// any of `not_run`, `silent` (true/false), `break_after`, `foreign_answers`, `error_status`,
 /// `spoiled_answers` (numbers, 0: off), `slowness_percent` (current processing time as a percentage
-/// of the normal one; 0 or 100: normal) and `false_slowness` (text to report instead of it; empty:
-/// off); `GET /admin/runs` returns how often each request was run.
+/// of the normal one; 0 or 100: normal) and `invalid_slowness` (text to report instead of it;
+/// empty: off); `GET /admin/runs` returns how often each request was run.
 std::unique_ptr<EmulatedService> make_inference_runner(const boost::asio::any_io_executor& executor,
                                                        const std::string& listen,
                                                        InferenceRunnerParameters parameters);
--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -7,7 +7,7 @@
 
 /// A new request is admitted if its predicted wait is at most this fraction of the time left until
 /// it is due. The prediction is a mean: at a fraction of 1, half of the requests admitted last
-/// would be late. tests/admission/admission_replay_test.cc compares values.
+/// would be late. tests/admission/admission_simulation_test.cc compares values.
 constexpr double kAdmissibleWaitFraction = 0.8;
 /// Once a request has waited for this fraction of the time from its arrival to its due time,
 /// rejecting it like a new request no longer helps: a late slot that is expected before its retry
@@ -17,26 +17,26 @@
 /// Returns whether a slot that no on-time request needs is expected soon and before the caller
 /// would retry. A forecast further ahead than the objective is too unreliable, because it depends
 /// on future arrivals.
-bool late_slot_precedes_retry(const WaitReview& input, TimePoint now) {
+bool late_slot_precedes_retry(const AdmissionInput& input, TimePoint now) {
   const WaitForecast& forecast = *input.forecast;
   const Duration waited = now - input.arrival;
   const Duration objective = input.due - input.arrival;
   if (waited < scale(objective, kLongWaitFraction)) return false;
   if (!forecast.time_to_drain || *forecast.time_to_drain > objective) return false;
-  if (now + *forecast.time_to_drain > input.last_start) return false;
+  if (now + *forecast.time_to_drain > input.latest_start) return false;
   return !input.retry_after || *forecast.time_to_drain < *input.retry_after;
 }
 
 }  // namespace
 
-double freed_per_second(const ServiceFigures& statistics, std::uint32_t slots) {
+double slots_freed_per_second(const ServiceStatistics& statistics, std::uint32_t slots) {
   if (!statistics.slot_time || statistics.slot_time->count() <= 0) return 0;
-  return std::max(slots / to_seconds(*statistics.slot_time), statistics.freed_per_second);
+  return std::max(slots / to_seconds(*statistics.slot_time), statistics.slots_freed_per_second);
 }
 
 std::optional<WaitForecast> predict_wait(const QueuePosition& position,
-                                         const ServiceFigures& statistics, const SlotRoom& capacity,
-                                         double arrivals_per_second) {
+                                         const ServiceStatistics& statistics,
+                                         const SlotCapacity& capacity, double arrivals_per_second) {
   if (!statistics.slot_time || statistics.slot_time->count() <= 0 || capacity.zone == 0)
     return std::nullopt;
   // Nodes receive slots in proportion to their queue lengths, so the fraction of this node's queue
@@ -50,12 +50,12 @@
       position.ahead.slot_time + scale(statistics.peers.slot_time, node_fraction);
   // Queued requests can use slots lent by other zones and slots that batch items release
   // immediately, so that many fewer requests are ahead in this zone.
-  const double immediately_available = capacity.spare_elsewhere + capacity.of_batch;
+  const double immediately_available = capacity.lent_by_other_zones + capacity.preemptible_batch;
   const double remaining_fraction =
       requests_ahead > 0 ? std::max(0.0, 1 - immediately_available / requests_ahead) : 0;
   WaitForecast forecast;
   forecast.ahead = static_cast<std::uint32_t>(requests_ahead * remaining_fraction);
-  const double freed = freed_per_second(statistics, capacity.zone);
+  const double freed = slots_freed_per_second(statistics, capacity.zone);
   forecast.wait =
       scale(time_ahead, remaining_fraction / (freed * to_seconds(*statistics.slot_time)));
   const double spare = freed - arrivals_per_second;
@@ -66,13 +66,13 @@
   return forecast;
 }
 
-std::optional<RejectionReason> review_wait(const WaitReview& input, TimePoint now) {
-  if (input.standing == AdmissionStanding::kBegun) return std::nullopt;
-  if (now > input.last_start) return RejectionReason::kTooLate;
+std::optional<RejectionReason> check_admission(const AdmissionInput& input, TimePoint now) {
+  if (input.admission_class == AdmissionClass::kStarted) return std::nullopt;
+  if (now > input.latest_start) return RejectionReason::kTooLate;
   if (!input.forecast) return std::nullopt;
   const WaitForecast& forecast = *input.forecast;
-  if (now + forecast.wait > input.last_start) return RejectionReason::kTooLate;
-  if (input.standing == AdmissionStanding::kReturned) return std::nullopt;
+  if (now + forecast.wait > input.latest_start) return RejectionReason::kTooLate;
+  if (input.admission_class == AdmissionClass::kBookedRetry) return std::nullopt;
   // No other request that can still be on time needs the next slot.
   if (forecast.ahead == 0) return std::nullopt;
   const Duration remaining = input.due - now;
--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -12,10 +12,10 @@
 namespace stoathold {
 
 /// How a request entered the queue, as far as this affects its admission.
-enum class AdmissionStanding : std::uint8_t {
-  kNewcomer,
-  kReturned,  ///< Its caller retried at the time given by its Retry-After.
-  kBegun,     ///< It has run or its response has started; rejecting it would abort that response.
+enum class AdmissionClass : std::uint8_t {
+  kNewRequest,
+  kBookedRetry,  ///< Its caller retried at the time given by its Retry-After.
+  kStarted,  ///< It has run or its response has started; rejecting it would abort that response.
 };
 
 /// Position of a request among the requests for its service that are queued at its node and can
@@ -26,10 +26,11 @@
 };
 
 /// Slots of a service that a queued request can use.
-struct SlotRoom {
-  std::uint32_t zone = 0;             ///< All slots in this zone.
-  std::uint32_t spare_elsewhere = 0;  ///< Free slots that other zones lend.
-  std::uint32_t of_batch = 0;         ///< Slots in this zone held by batch items that would yield.
+struct SlotCapacity {
+  std::uint32_t zone = 0;                 ///< All slots in this zone.
+  std::uint32_t lent_by_other_zones = 0;  ///< Free slots that other zones lend.
+  std::uint32_t preemptible_batch =
+      0;  ///< Slots in this zone held by batch items that would yield.
 };
 
 /// Predicted wait for a slot.
@@ -42,25 +43,25 @@
 /// Returns the slots that become free per second while all are in use: the rate of the zone's own
 /// slots, or the measured rate if that is higher because other zones lend slots. Returns 0 if
 /// unknown.
-double freed_per_second(const ServiceFigures& statistics, std::uint32_t slots);
+double slots_freed_per_second(const ServiceStatistics& statistics, std::uint32_t slots);
 
 /// Predicts the wait for a slot.
 /// @return nothing if the slot time or the number of slots is unknown.
 std::optional<WaitForecast> predict_wait(const QueuePosition& position,
-                                         const ServiceFigures& statistics, const SlotRoom& capacity,
-                                         double arrivals_per_second);
+                                         const ServiceStatistics& statistics,
+                                         const SlotCapacity& capacity, double arrivals_per_second);
 
 /// Inputs of the admission decision.
-struct WaitReview {
-  AdmissionStanding standing = AdmissionStanding::kNewcomer;
+struct AdmissionInput {
+  AdmissionClass admission_class = AdmissionClass::kNewRequest;
   TimePoint arrival{};
-  TimePoint due{};         ///< The request is on time if it has a slot by then.
-  TimePoint last_start{};  ///< With a later slot, the caller gives up before the first event.
+  TimePoint due{};           ///< The request is on time if it has a slot by then.
+  TimePoint latest_start{};  ///< With a later slot, the caller gives up before the first event.
   std::optional<WaitForecast> forecast;
   std::optional<Duration> retry_after;  ///< Retry-After that a rejection would carry.
 };
 
 /// Returns why the request is rejected now, or nothing if it keeps waiting. Has no side effects.
-std::optional<RejectionReason> review_wait(const WaitReview& input, TimePoint now);
+std::optional<RejectionReason> check_admission(const AdmissionInput& input, TimePoint now);
 
 }  // namespace stoathold
--- a/src/admission/arrival_rate_forecaster.cc
+++ b/src/admission/arrival_rate_forecaster.cc
@@ -23,11 +23,11 @@
 
 }  // namespace
 
-bool ArrivalSwing::level_has_changed() const {
+bool ArrivalRateForecaster::level_has_changed() const {
   return in_peak_ ? recent_ < kPeakEndRatio * mean_ : recent_ > kPeakStartRatio * mean_;
 }
 
-void ArrivalSwing::observe(double rate, TimePoint now) {
+void ArrivalRateForecaster::observe(double rate, TimePoint now) {
   ++bins_;
   const double mean_smoothing = std::max(kMeanSmoothing, 1.0 / static_cast<double>(bins_));
   mean_ += mean_smoothing * (rate - mean_);
@@ -44,12 +44,12 @@
   if (level_has_changed()) start_level(now - kBin * static_cast<int>(newest_rates_.size()));
 }
 
-double ArrivalSwing::newest_mean() const {
+double ArrivalRateForecaster::newest_mean() const {
   const double sum = std::accumulate(newest_rates_.begin(), newest_rates_.end(), 0.0);
   return newest_rates_.empty() ? 0 : sum / static_cast<double>(newest_rates_.size());
 }
 
-void ArrivalSwing::start_level(TimePoint start) {
+void ArrivalRateForecaster::start_level(TimePoint start) {
   const Duration length = start - level_start_;
   Level& ended = in_peak_ ? peak_ : low_;
   if (start_observed_ && length >= kMinLevelLength && level_bins_ > 0) {
@@ -64,7 +64,7 @@
 
 /// While the length of the current level is unknown, it is expected to last for as long again as it
 /// has lasted so far.
-TimePoint ArrivalSwing::expected_level_change(TimePoint now) const {
+TimePoint ArrivalRateForecaster::expected_level_change(TimePoint now) const {
   const Duration typical_length = (in_peak_ ? peak_ : low_).length;
   const TimePoint expected =
       typical_length.count() > 0 ? level_start_ + typical_length : now + (now - level_start_);
@@ -73,7 +73,7 @@
 
 /// The ratio between the two levels stays the same when all arrivals grow, so the recent rate
 /// scales the other level.
-double ArrivalSwing::expected_rate(TimePoint at, TimePoint now) const {
+double ArrivalRateForecaster::expected_rate(TimePoint at, TimePoint now) const {
   // A rise in arrivals shows in the newest bins before it shows in the smoothed rate.
   if (at < expected_level_change(now)) return std::max(recent_, newest_mean());
   const Level& current = in_peak_ ? peak_ : low_;
--- a/src/admission/arrival_rate_forecaster.h
+++ b/src/admission/arrival_rate_forecaster.h
@@ -12,7 +12,7 @@
 /// Models arrivals as two alternating levels, each of a typical length. This is how events shared
 /// by many callers, such as the start of an hour or the boarding call of a flight, look over some
 /// seconds. Times passed in must not decrease. Used on one thread.
-class ArrivalSwing {
+class ArrivalRateForecaster {
  public:
   /// Length of an arrival counting bin: long enough to contain some arrivals, short compared to the
   /// time for which callers wait.
@@ -24,7 +24,7 @@
   /// Returns the rate expected at a future time; 0 if nothing is known.
   [[nodiscard]] double expected_rate(TimePoint at, TimePoint now) const;
   /// Returns the current smoothed rate.
-  [[nodiscard]] double rate() const { return recent_; }
+  [[nodiscard]] double recent_rate() const { return recent_; }
 
  private:
   /// Rate and length of the latest occurrence of a level that was observed from start to end; 0 if
--- a/src/admission/fair_share_ranker.cc
+++ b/src/admission/fair_share_ranker.cc
@@ -31,28 +31,29 @@
 /// Use below this, in seconds of slot time, is dropped.
 constexpr double kNegligibleUse = 0.005;
 
-Duration slot_time_of(const TurnRequest& request) {
+Duration slot_time_of(const FairShareRequest& request) {
   return request.slot_time > Duration{0} ? request.slot_time : kUnknownSlotTime;
 }
 
-std::uint64_t owner_of(const ShareKey& key) {
+std::uint64_t owner_of(const TenantServiceKey& key) {
   return mix_hashes(key.service, key.tenant);
 }
 
 }  // namespace
 
-double FairTurns::tenant_rank(const ShareKey& key, double cost, TimePoint now) const {
-  const ShareLedger::Total total = ledger_.total(key.service, now);
+double FairShareRanker::tenant_rank(const TenantServiceKey& key, double cost, TimePoint now) const {
+  const SlotTimeLedger::Total total = ledger_.total(key.service, now);
   if (total.weight <= 0) return 0;
   const double fair_share = total.seconds / total.weight * ledger_.weight_of(key.tenant);
   const double excess =
-      ledger_.seconds(key, now) - kTenantTolerance * fair_share - kToleratedRequests * cost;
+      ledger_.used_seconds(key, now) - kTenantTolerance * fair_share - kToleratedRequests * cost;
   if (excess <= 0) return 0;
   return std::min(kMaxTenantRank,
                   1 + std::floor(kRanksPerShare * excess / std::max(fair_share, cost)));
 }
 
-double FairTurns::route_rank(const TurnRequest& request, double cost, TimePoint now) const {
+double FairShareRanker::route_rank(const FairShareRequest& request, double cost,
+                                   TimePoint now) const {
   const std::uint64_t owner = owner_of(request.key);
   double recent = 0;
   double typical = 0;
@@ -71,7 +72,7 @@
                   kRouteRankStep * (1 + std::floor(excess / std::max(fair_share, cost))));
 }
 
-FairTurns::RouteUse* FairTurns::route_of(const TurnRequest& request) {
+FairShareRanker::RouteUse* FairShareRanker::route_of(const FairShareRequest& request) {
   const std::uint64_t owner = owner_of(request.key);
   const std::uint64_t name = mix_hashes(owner, request.route);
   const auto found = routes_.find(name);
@@ -80,30 +81,30 @@
   return &routes_.emplace(name, RouteUse(owner)).first->second;
 }
 
-double FairTurns::arrive(const TurnRequest& request, TimePoint now) {
+double FairShareRanker::add_and_rank(const FairShareRequest& request, TimePoint now) {
   const double cost = to_seconds(slot_time_of(request));
   const double rank = tenant_rank(request.key, cost, now) + route_rank(request, cost, now);
-  count_waiting(request, now);
+  add_waiting(request, now);
   return rank;
 }
 
-void FairTurns::count_waiting(const TurnRequest& request, TimePoint now) {
+void FairShareRanker::add_waiting(const FairShareRequest& request, TimePoint now) {
   const Duration slot_time = slot_time_of(request);
-  ledger_.wait(request.key, slot_time, now);
+  ledger_.add_waiting(request.key, slot_time, now);
   if (RouteUse* route = route_of(request)) route->waiting += to_seconds(slot_time);
 }
 
-void FairTurns::left(const TurnRequest& request) {
-  ledger_.end_wait(request.key, slot_time_of(request));
+void FairShareRanker::on_unplaced(const FairShareRequest& request) {
+  ledger_.remove_waiting(request.key, slot_time_of(request));
   RouteUse* route = route_of(request);
   if (route == nullptr) return;
   route->waiting = std::max(0.0, route->waiting - to_seconds(slot_time_of(request)));
 }
 
-Duration FairTurns::placed(const TurnRequest& request, TimePoint now) {
-  left(request);
+Duration FairShareRanker::on_placed(const FairShareRequest& request, TimePoint now) {
+  on_unplaced(request);
   const Duration slot_time = slot_time_of(request);
-  ledger_.use(request.key, slot_time, now);
+  ledger_.charge(request.key, slot_time, now);
   if (RouteUse* route = route_of(request)) {
     route->recent.add(to_seconds(slot_time), now);
     route->typical.add(to_seconds(slot_time), now);
@@ -111,15 +112,15 @@
   return slot_time;
 }
 
-double FairTurns::over_part(const ShareKey& key, TimePoint now) const {
-  const ShareLedger::Total total = ledger_.total(key.service, now);
+double FairShareRanker::share_ratio(const TenantServiceKey& key, TimePoint now) const {
+  const SlotTimeLedger::Total total = ledger_.total(key.service, now);
   if (total.seconds <= 0) return 0;
   const double fair_share = total.seconds / total.weight * ledger_.weight_of(key.tenant);
-  return ledger_.seconds(key, now) / fair_share;
+  return ledger_.used_seconds(key, now) / fair_share;
 }
 
-void FairTurns::forget(TimePoint now) {
-  ledger_.forget(now);
+void FairShareRanker::remove_inactive(TimePoint now) {
+  ledger_.remove_inactive(now);
   std::erase_if(routes_, [&](const auto& entry) {
     const RouteUse& use = entry.second;
     return use.waiting <= 0 && use.typical.value(now) < kNegligibleUse;
--- a/src/admission/fair_share_ranker.h
+++ b/src/admission/fair_share_ranker.h
@@ -21,32 +21,32 @@
 namespace stoathold {
 
 /// Describes a request to rank.
-struct TurnRequest {
-  ShareKey key;
+struct FairShareRequest {
+  TenantServiceKey key;
   std::uint64_t route = 0;  ///< Hash of the route's name.
   Duration slot_time{0};    ///< Predicted time for which it holds a slot; 0 if unknown.
 };
 
 /// Ranks requests and records waiting work and used slot time. Used on one thread. The ledger must
 /// outlive it.
-class FairTurns {
+class FairShareRanker {
  public:
-  explicit FairTurns(ShareLedger& ledger) : ledger_(ledger) {}
+  explicit FairShareRanker(SlotTimeLedger& ledger) : ledger_(ledger) {}
 
   /// Adds a request, which counts as waiting until `on_placed` or `on_unplaced`.
   /// @return its rank: 0 within the fair share; lower ranks are served first.
-  double arrive(const TurnRequest& request, TimePoint now);
+  double add_and_rank(const FairShareRequest& request, TimePoint now);
   /// Adds a request that needs no rank; it only counts as waiting.
-  void count_waiting(const TurnRequest& request, TimePoint now);
+  void add_waiting(const FairShareRequest& request, TimePoint now);
   /// Records that a request got a slot.
   /// @return the slot time that was charged.
-  Duration placed(const TurnRequest& request, TimePoint now);
+  Duration on_placed(const FairShareRequest& request, TimePoint now);
   /// Records that a request left the queue without a slot.
-  void left(const TurnRequest& request);
+  void on_unplaced(const FairShareRequest& request);
 
   /// Returns the ratio of the tenant's recent slot time to its fair share; 1 is exactly the share.
-  [[nodiscard]] double over_part(const ShareKey& key, TimePoint now) const;
-  void forget(TimePoint now);
+  [[nodiscard]] double share_ratio(const TenantServiceKey& key, TimePoint now) const;
+  void remove_inactive(TimePoint now);
 
  private:
   /// Use of one route of a tenant, at this node.
@@ -62,11 +62,12 @@
   /// arrivals.
   static constexpr Duration kTypicalUseDecayTime = std::chrono::seconds(60);
 
-  [[nodiscard]] double tenant_rank(const ShareKey& key, double cost, TimePoint now) const;
-  [[nodiscard]] double route_rank(const TurnRequest& request, double cost, TimePoint now) const;
-  RouteUse* route_of(const TurnRequest& request);
+  [[nodiscard]] double tenant_rank(const TenantServiceKey& key, double cost, TimePoint now) const;
+  [[nodiscard]] double route_rank(const FairShareRequest& request, double cost,
+                                  TimePoint now) const;
+  RouteUse* route_of(const FairShareRequest& request);
 
-  ShareLedger& ledger_;
+  SlotTimeLedger& ledger_;
   std::unordered_map<std::uint64_t, RouteUse> routes_;
 };
 
--- a/src/admission/load_policy.cc
+++ b/src/admission/load_policy.cc
@@ -4,12 +4,12 @@
 
 LoadPolicy load_policy_for(const DeploymentTraits& traits) {
   const bool overload_control = traits.has_tenants || traits.reports_slowness;
-  return {.predicts_waits = overload_control,
-          .shares_fairly = overload_control,
-          .knows_speeds = traits.reports_slowness,
+  return {.predicts_wait_times = overload_control,
+          .uses_fair_shares = overload_control,
+          .uses_runner_speeds = traits.reports_slowness,
           .lends_slots = overload_control,
-          .deals_batch = overload_control,
-          .keeps_connections = overload_control};
+          .distributes_batch_runners = overload_control,
+          .reuses_connections = overload_control};
 }
 
 }  // namespace stoathold
--- a/src/admission/load_policy.h
+++ b/src/admission/load_policy.h
@@ -17,12 +17,13 @@
 /// flags are set from the traits and from nothing else, so that a test or an experiment can turn
 /// off each one separately.
 struct LoadPolicy {
-  bool predicts_waits = false;     ///< Rejects requests at once that cannot be served in time.
-  bool shares_fairly = false;      ///< Orders tenants, routes and services by their recent use.
-  bool knows_speeds = false;       ///< Chooses runners by predicted completion time.
-  bool lends_slots = false;        ///< Zones lend slots to one another.
-  bool deals_batch = false;        ///< Distributes batch runners among the nodes where items wait.
-  bool keeps_connections = false;  ///< Each node uses few runners, over persistent connections.
+  bool predicts_wait_times = false;  ///< Rejects requests at once that cannot be served in time.
+  bool uses_fair_shares = false;     ///< Orders tenants, routes and services by their recent use.
+  bool uses_runner_speeds = false;   ///< Chooses runners by predicted completion time.
+  bool lends_slots = false;          ///< Zones lend slots to one another.
+  bool distributes_batch_runners =
+      false;                        ///< Distributes batch runners among the nodes where items wait.
+  bool reuses_connections = false;  ///< Each node uses few runners, over persistent connections.
 };
 
 /// Returns the policy for a deployment's traits.
--- a/src/admission/placement_rejection.h
+++ b/src/admission/placement_rejection.h
@@ -26,7 +26,7 @@
   RejectionReason reason = RejectionReason::kOverloaded;
   /// Delay until the retry; empty if a retry cannot succeed.
   std::optional<Duration> retry_after;
-  bool promised = false;  ///< A slot is expected for the retry, which precedes new requests.
+  bool has_booking = false;  ///< A slot is expected for the retry, which precedes new requests.
 };
 
 }  // namespace stoathold
--- a/src/admission/priority_inversion_monitor.cc
+++ b/src/admission/priority_inversion_monitor.cc
@@ -12,16 +12,17 @@
 
 }  // namespace
 
-void KindWatch::count(const KindOfRequest& request_class, KindOutcome outcome, TimePoint now) {
+void PriorityInversionMonitor::record(const RequestClass& request_class, WaitOutcome outcome,
+                                      TimePoint now) {
   if (classes_.size() >= kMaxClasses && !classes_.contains(request_class)) return;
   Counts& counts = classes_[request_class];
   ++counts.total[static_cast<std::size_t>(outcome)];
-  const bool placed = outcome != KindOutcome::kNotPlaced;
+  const bool placed = outcome != WaitOutcome::kNotPlaced;
   (placed ? counts.placed : counts.not_placed).add(1, now);
 }
 
-std::vector<KindInversion> KindWatch::inversions(TimePoint now) const {
-  std::vector<KindInversion> result;
+std::vector<PriorityInversion> PriorityInversionMonitor::inversions(TimePoint now) const {
+  std::vector<PriorityInversion> result;
   const auto requests = [now](const Counts& counts) {
     return counts.placed.value(now) + counts.not_placed.value(now);
   };
@@ -33,9 +34,10 @@
       const double other_request_count = requests(other_counts);
       const bool comparable = other.service == urgent.service && other.priority > urgent.priority;
       if (!comparable || other_request_count < kMinRequests) continue;
-      const double other_served = other_counts.placed.value(now) / other_request_count;
-      if (other_served - served < kMinDifference) continue;
-      result.push_back({urgent, served, other, other_served});
+      const double less_urgent_placed_fraction =
+          other_counts.placed.value(now) / other_request_count;
+      if (less_urgent_placed_fraction - served < kMinDifference) continue;
+      result.push_back({urgent, served, other, less_urgent_placed_fraction});
     }
   }
   return result;
--- a/src/admission/retry_bookings.cc
+++ b/src/admission/retry_bookings.cc
@@ -24,11 +24,11 @@
 
 }  // namespace
 
-ReturningCallers::Bin ReturningCallers::bin_of(const Entry& entry) {
+RetryBookings::Bin RetryBookings::bin_of(const Entry& entry) {
   return {entry.service, entry.return_at.time_since_epoch() / kBookingBin};
 }
 
-void ReturningCallers::add(std::uint64_t content, const Entry& entry) {
+void RetryBookings::add(std::uint64_t content, const Entry& entry) {
   entries_[content] = entry;
   by_age_.push_back(content);
   if (!entry.arrived) ++booked_counts_[bin_of(entry)];
@@ -41,14 +41,14 @@
   }
 }
 
-void ReturningCallers::release(const Entry& entry) {
+void RetryBookings::release(const Entry& entry) {
   if (entry.arrived) return;
   const auto found = booked_counts_.find(bin_of(entry));
   if (found != booked_counts_.end() && --found->second == 0) booked_counts_.erase(found);
 }
 
-void ReturningCallers::tell(std::uint64_t content, std::uint64_t service, TimePoint return_at,
-                            TimePoint now) {
+void RetryBookings::book(std::uint64_t content, std::uint64_t service, TimePoint return_at,
+                         TimePoint now) {
   expire(now);
   const auto found = entries_.find(content);
   if (found == entries_.end()) {
@@ -61,7 +61,7 @@
   outgoing_.push_back({content, kReportRepeats});
 }
 
-bool ReturningCallers::take(std::uint64_t content, TimePoint now) {
+bool RetryBookings::consume(std::uint64_t content, TimePoint now) {
   if (entries_.empty()) return false;
   expire(now);
   const auto found = entries_.find(content);
@@ -73,13 +73,13 @@
   return true;
 }
 
-std::uint32_t ReturningCallers::expected_at(std::uint64_t service, TimePoint at) const {
+std::uint32_t RetryBookings::booked_at(std::uint64_t service, TimePoint at) const {
   const auto found = booked_counts_.find({service, at.time_since_epoch() / kBookingBin});
   return found == booked_counts_.end() ? 0 : found->second;
 }
 
-std::vector<ReturnReport> ReturningCallers::report(std::size_t max_count, TimePoint now) {
-  std::vector<ReturnReport> reports;
+std::vector<RetryBookingReport> RetryBookings::report(std::size_t max_count, TimePoint now) {
+  std::vector<RetryBookingReport> reports;
   const std::size_t report_count = std::min(max_count, outgoing_.size());
   for (std::size_t index = 0; index < report_count; ++index) {
     Outgoing next = outgoing_.front();
@@ -87,28 +87,28 @@
     const auto found = entries_.find(next.content);
     if (found == entries_.end()) continue;
     const Entry& entry = found->second;
-    reports.push_back({next.content, entry.service, saturated_milliseconds(entry.return_at - now),
+    reports.push_back({next.content, entry.service, saturating_milliseconds(entry.return_at - now),
                        entry.arrived});
     if (--next.repeats > 0) outgoing_.push_back(next);
   }
   return reports;
 }
 
-void ReturningCallers::take_report(const ReturnReport& report, TimePoint now) {
+void RetryBookings::apply_report(const RetryBookingReport& report, TimePoint now) {
   expire(now);
   const TimePoint return_at = now + std::chrono::milliseconds(report.after_ms);
   const auto found = entries_.find(report.content);
   if (found == entries_.end()) {
-    add(report.content, {report.service, return_at, now, report.came});
+    add(report.content, {report.service, return_at, now, report.arrived});
     return;
   }
   // A late or repeated report must not renew the booking of a retry that has already arrived.
-  if (!report.came || found->second.arrived) return;
+  if (!report.arrived || found->second.arrived) return;
   release(found->second);
   found->second.arrived = true;
 }
 
-void ReturningCallers::expire(TimePoint now) {
+void RetryBookings::expire(TimePoint now) {
   while (!by_age_.empty()) {
     const auto oldest = entries_.find(by_age_.front());
     if (oldest != entries_.end()) {
--- a/src/admission/retry_bookings.h
+++ b/src/admission/retry_bookings.h
@@ -18,24 +18,24 @@
 /// A bounded table of booked retries, shared within the zone by reports. Only nodes write to it, so
 /// a caller can use only a booking that a node gave it, once, and not before its time. Used on one
 /// thread.
-class ReturningCallers {
+class RetryBookings {
  public:
   /// Books a retry for a rejected request.
-  void tell(std::uint64_t content, std::uint64_t service, TimePoint return_at, TimePoint now);
+  void book(std::uint64_t content, std::uint64_t service, TimePoint return_at, TimePoint now);
   /// Consumes the booking of an arriving request. Cheap while there are no bookings.
   /// @return whether the request is a booked retry that is due. A further copy of it is not.
-  bool take(std::uint64_t content, TimePoint now);
+  bool consume(std::uint64_t content, TimePoint now);
   /// Returns whether there are no bookings; the content of a request need not be hashed then.
   [[nodiscard]] bool empty() const { return entries_.empty(); }
   /// Returns the number of retries booked in the `kBookingBin` that contains a time.
-  [[nodiscard]] std::uint32_t expected_at(std::uint64_t service, TimePoint at) const;
+  [[nodiscard]] std::uint32_t booked_at(std::uint64_t service, TimePoint at) const;
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
   /// Returns up to `max_count` entries to report to other nodes; each entry is reported several
   /// times.
-  [[nodiscard]] std::vector<ReturnReport> report(std::size_t max_count, TimePoint now);
+  [[nodiscard]] std::vector<RetryBookingReport> report(std::size_t max_count, TimePoint now);
   /// Applies a report of another node.
-  void take_report(const ReturnReport& report, TimePoint now);
+  void apply_report(const RetryBookingReport& report, TimePoint now);
   /// Removes expired bookings.
   void expire(TimePoint now);
 
--- a/src/admission/retry_times.cc
+++ b/src/admission/retry_times.cc
@@ -37,18 +37,18 @@
 
 /// Returns a random moment within the bin, so that callers rejected together do not retry together.
 Duration jitter_within_bin(Duration bin_start, Duration latest, Random& random) {
-  const Duration moment = bin_start + scale(ReturningCallers::kBookingBin, random.unit());
+  const Duration moment = bin_start + scale(RetryBookings::kBookingBin, random.unit());
   return std::min(moment, latest);
 }
 
 /// Returns how many more retries can be booked at a time with this rate of available slots.
-double available_bookings(const RetryQuery& query, const ReturningCallers& retry_bookings,
+double available_bookings(const RetryQuery& query, const RetryBookings& retry_bookings,
                           TimePoint at, double per_second) {
-  const double in_bin = per_second * to_seconds(ReturningCallers::kBookingBin);
-  if (in_bin >= 1) return in_bin - retry_bookings.expected_at(query.service, at);
+  const double in_bin = per_second * to_seconds(RetryBookings::kBookingBin);
+  if (in_bin >= 1) return in_bin - retry_bookings.booked_at(query.service, at);
   std::uint32_t booked = 0;
   for (int bin = -kWindowBins / 2; bin <= kWindowBins / 2; ++bin) {
-    booked += retry_bookings.expected_at(query.service, at + bin * ReturningCallers::kBookingBin);
+    booked += retry_bookings.booked_at(query.service, at + bin * RetryBookings::kBookingBin);
   }
   return in_bin * kWindowBins - booked;
 }
@@ -69,49 +69,50 @@
 /// learn of each other's bookings late, so the requests rejected meanwhile anywhere in the zone
 /// share the available bookings.
 bool draws_booking(const RetryQuery& query, const CandidateBins& candidates, Random& random) {
-  const double arrivals = query.swing == nullptr ? 0 : query.swing->rate();
+  const double arrivals = query.forecaster == nullptr ? 0 : query.forecaster->recent_rate();
   const double competitors =
-      (arrivals - query.freed_per_second) * to_seconds(kBookingPropagationDelay);
+      (arrivals - query.slots_freed_per_second) * to_seconds(kBookingPropagationDelay);
   return !candidates.starts.empty() && random.unit() * competitors < candidates.bookings;
 }
 
 /// Returns the slots per second left at a time after the expected arrivals.
 double spare_slot_rate(const RetryQuery& query, TimePoint at) {
-  const double arrivals = query.swing == nullptr ? 0 : query.swing->expected_rate(at, query.now);
-  return kTargetUtilization * query.freed_per_second - arrivals;
+  const double arrivals =
+      query.forecaster == nullptr ? 0 : query.forecaster->expected_rate(at, query.now);
+  return kTargetUtilization * query.slots_freed_per_second - arrivals;
 }
 
 }  // namespace
 
-std::optional<ReturnTime> choose_return(const RetryQuery& query,
-                                        const ReturningCallers& retry_bookings, Random& random) {
+std::optional<RetryTime> choose_retry_time(const RetryQuery& query,
+                                           const RetryBookings& retry_bookings, Random& random) {
   const Duration remaining = query.deadline - query.now;
   const Duration latest = scale(remaining, kMaxRetryFraction) - kRoundTrip;
   if (latest < kMinRetryDelay || remaining - latest < query.first_event + kRoundTrip)
     return std::nullopt;
-  if (query.freed_per_second <= 0) {
-    return ReturnTime{std::min(latest, scale(kDefaultRetryDelay, 0.5 + random.unit()))};
+  if (query.slots_freed_per_second <= 0) {
+    return RetryTime{std::min(latest, scale(kDefaultRetryDelay, 0.5 + random.unit()))};
   }
   const Duration earliest = std::clamp(query.wait, kMinRetryDelay, kMinBookedDelay);
   CandidateBins low_load;
   CandidateBins reserved;
-  for (Duration start = earliest; start < latest; start += ReturningCallers::kBookingBin) {
+  for (Duration start = earliest; start < latest; start += RetryBookings::kBookingBin) {
     const TimePoint at = query.now + start;
     low_load.add(start, available_bookings(query, retry_bookings, at, spare_slot_rate(query, at)));
     if (low_load.starts.size() == kMaxCandidateBins) break;
     if (start < kMinBookedDelay) continue;
     reserved.add(start, available_bookings(query, retry_bookings, at,
-                                           kBookedSlotFraction * query.freed_per_second));
+                                           kBookedSlotFraction * query.slots_freed_per_second));
   }
   if (draws_booking(query, low_load, random)) {
-    return ReturnTime{
+    return RetryTime{
         jitter_within_bin(low_load.starts[random.below(low_load.starts.size())], latest, random)};
   }
   if (draws_booking(query, reserved, random)) {
-    return ReturnTime{jitter_within_bin(reserved.starts.back(), latest, random)};
+    return RetryTime{jitter_within_bin(reserved.starts.back(), latest, random)};
   }
   const Duration before_latest = scale(kUnbookedJitter, random.unit());
-  return ReturnTime{std::max(kMinRetryDelay, latest - before_latest), false};
+  return RetryTime{std::max(kMinRetryDelay, latest - before_latest), false};
 }
 
 }  // namespace stoathold
--- a/src/admission/shared_budget.cc
+++ b/src/admission/shared_budget.cc
@@ -14,22 +14,22 @@
 
 }  // namespace
 
-double SharedRoom::size_for_one_job(double amount) {
+double SharedBudget::size_for_one_job(double amount) {
   return amount * (1 + kJobFactor) / kJobFactor;
 }
 
-double SharedRoom::amount_of(const Amounts& amounts, std::uint64_t name) {
+double SharedBudget::amount_of(const Amounts& amounts, std::uint64_t name) {
   const auto found = amounts.find(name);
   return found == amounts.end() ? 0 : found->second;
 }
 
-void SharedRoom::change(Amounts& amounts, std::uint64_t name, double difference) {
+void SharedBudget::change(Amounts& amounts, std::uint64_t name, double difference) {
   const auto position = amounts.try_emplace(name, 0).first;
   position->second += difference;
   if (position->second < kEpsilon) amounts.erase(position);
 }
 
-bool SharedRoom::may_take(const RoomHolder& holder) const {
+bool SharedBudget::may_acquire(const BudgetOwner& holder) const {
   const double of_service = amount_of(services_, holder.service);
   if (of_service <= 0) return true;
   const double free = size_ - held_;
@@ -40,14 +40,14 @@
          of_job < kJobFactor * free;
 }
 
-void SharedRoom::take(const RoomHolder& holder, double amount) {
+void SharedBudget::acquire(const BudgetOwner& holder, double amount) {
   held_ += amount;
   change(services_, holder.service, amount);
   change(tenants_, holder.tenant, amount);
   change(jobs_, holder.job, amount);
 }
 
-void SharedRoom::give_back(const RoomHolder& holder, double amount) {
+void SharedBudget::release(const BudgetOwner& holder, double amount) {
   held_ -= amount;
   change(services_, holder.service, -amount);
   change(tenants_, holder.tenant, -amount);
--- a/src/admission/shared_budget.h
+++ b/src/admission/shared_budget.h
@@ -13,7 +13,7 @@
 namespace stoathold {
 
 /// Service, tenant and job that use the budget, identified by the hashes of their names.
-struct RoomHolder {
+struct BudgetOwner {
   std::uint64_t service = 0;
   std::uint64_t tenant = 0;
   std::uint64_t job = 0;
@@ -21,16 +21,16 @@
 
 /// Limits how much of a countable resource one service, one tenant and one job hold. Used on one
 /// thread.
-class SharedRoom {
+class SharedBudget {
  public:
   /// @param size maximum that all owners may hold together, in any unit.
-  explicit SharedRoom(double size) : size_(size) {}
+  explicit SharedBudget(double size) : size_(size) {}
 
   /// Returns whether an owner may acquire more now. A service that holds nothing may always acquire
   /// some: the number of services is bounded by the configuration.
-  [[nodiscard]] bool may_take(const RoomHolder& holder) const;
-  void take(const RoomHolder& holder, double amount);
-  void give_back(const RoomHolder& holder, double amount);
+  [[nodiscard]] bool may_acquire(const BudgetOwner& holder) const;
+  void acquire(const BudgetOwner& holder, double amount);
+  void release(const BudgetOwner& holder, double amount);
 
   void set_size(double size) { size_ = size; }
   [[nodiscard]] double held() const { return held_; }
--- a/src/admission/slot_time_estimator.cc
+++ b/src/admission/slot_time_estimator.cc
@@ -11,13 +11,13 @@
 
 }  // namespace
 
-void SlotTimes::observe(const std::string& route, Duration held) {
+void SlotTimeEstimator::observe(const std::string& route, Duration held) {
   if (means_.size() >= kMaxRoutes && !means_.contains(route)) means_.clear();
   const auto [entry, added] = means_.try_emplace(route, held);
   if (!added) entry->second += scale(held - entry->second, kSmoothing);
 }
 
-Duration SlotTimes::expected(const std::string& route) const {
+Duration SlotTimeEstimator::expected(const std::string& route) const {
   const auto found = means_.find(route);
   return found == means_.end() ? Duration{0} : found->second;
 }
--- a/src/admission/slot_time_estimator.h
+++ b/src/admission/slot_time_estimator.h
@@ -10,7 +10,7 @@
 namespace stoathold {
 
 /// Mean slot time by route, because requests of one route take similar time. Used on one thread.
-class SlotTimes {
+class SlotTimeEstimator {
  public:
   void observe(const std::string& route, Duration held);
   /// Returns the mean of a route; 0 if unknown.
--- a/src/admission/slot_time_ledger.cc
+++ b/src/admission/slot_time_ledger.cc
@@ -28,16 +28,16 @@
 
 }  // namespace
 
-void ShareLedger::set_weights(std::unordered_map<std::uint64_t, double> weights) {
+void SlotTimeLedger::set_weights(std::unordered_map<std::uint64_t, double> weights) {
   weights_ = std::move(weights);
 }
 
-double ShareLedger::weight_of(std::uint64_t tenant) const {
+double SlotTimeLedger::weight_of(std::uint64_t tenant) const {
   const auto found = weights_.find(tenant);
   return found == weights_.end() ? 1 : found->second;
 }
 
-ShareLedger::Share* ShareLedger::share_of(const ShareKey& key, TimePoint now) {
+SlotTimeLedger::Share* SlotTimeLedger::share_of(const TenantServiceKey& key, TimePoint now) {
   auto found = shares_.find(key);
   if (found == shares_.end()) {
     if (shares_.size() >= kMaxShares) return nullptr;
@@ -47,18 +47,18 @@
   return &found->second;
 }
 
-void ShareLedger::wait(const ShareKey& key, Duration slot_time, TimePoint now) {
+void SlotTimeLedger::add_waiting(const TenantServiceKey& key, Duration slot_time, TimePoint now) {
   if (Share* share = share_of(key, now)) share->waiting += to_seconds(slot_time);
 }
 
-void ShareLedger::end_wait(const ShareKey& key, Duration slot_time) {
+void SlotTimeLedger::remove_waiting(const TenantServiceKey& key, Duration slot_time) {
   const auto found = shares_.find(key);
   if (found == shares_.end()) return;
   double& waiting = found->second.waiting;
   waiting = std::max(0.0, waiting - to_seconds(slot_time));
 }
 
-void ShareLedger::use(const ShareKey& key, Duration slot_time, TimePoint now) {
+void SlotTimeLedger::charge(const TenantServiceKey& key, Duration slot_time, TimePoint now) {
   Share* share = share_of(key, now);
   if (share == nullptr) return;
   share->recent.add(to_seconds(slot_time), now);
@@ -69,11 +69,11 @@
   own_changes_.push_back({now, key});
 }
 
-void ShareLedger::take(std::uint64_t node, const ShareUse& report, TimePoint now) {
+void SlotTimeLedger::apply_report(std::uint64_t node, const SlotTimeReport& report, TimePoint now) {
   const auto [position, new_node] = nodes_.try_emplace(node);
   Node& known = position->second;
   known.last_heard = now;
-  const ShareKey key{report.service, report.tenant};
+  const TenantServiceKey key{report.service, report.tenant};
   if (known.counters.size() >= kMaxShares && !known.counters.contains(key)) return;
   const auto [counter, first] = known.counters.try_emplace(key);
   const std::uint32_t before = counter->second.slot_ms;
@@ -88,13 +88,13 @@
   if (Share* share = share_of(key, now)) share->recent.add(added / 1000.0, now);
 }
 
-std::vector<ShareUse> ShareLedger::changes(Duration age, std::size_t max_count,
-                                           TimePoint now) const {
-  std::vector<ShareUse> result;
+std::vector<SlotTimeReport> SlotTimeLedger::changes(Duration age, std::size_t max_count,
+                                                    TimePoint now) const {
+  std::vector<SlotTimeReport> result;
   for (auto change = own_changes_.rbegin(); change != own_changes_.rend(); ++change) {
     if (now - change->time > age || result.size() >= max_count) break;
-    const ShareKey key = change->key;
-    const bool known = std::any_of(result.begin(), result.end(), [&](const ShareUse& use) {
+    const TenantServiceKey key = change->key;
+    const bool known = std::any_of(result.begin(), result.end(), [&](const SlotTimeReport& use) {
       return use.service == key.service && use.tenant == key.tenant;
     });
     const auto share = shares_.find(key);
@@ -105,18 +105,18 @@
   return result;
 }
 
-double ShareLedger::seconds(const ShareKey& key, TimePoint now) const {
+double SlotTimeLedger::used_seconds(const TenantServiceKey& key, TimePoint now) const {
   const auto found = shares_.find(key);
   if (found == shares_.end()) return 0;
   return found->second.recent.value(now) + found->second.waiting;
 }
 
-double ShareLedger::waiting_seconds(const ShareKey& key) const {
+double SlotTimeLedger::waiting_seconds(const TenantServiceKey& key) const {
   const auto found = shares_.find(key);
   return found == shares_.end() ? 0 : found->second.waiting;
 }
 
-ShareLedger::Total ShareLedger::total(std::uint64_t service, TimePoint now) const {
+SlotTimeLedger::Total SlotTimeLedger::total(std::uint64_t service, TimePoint now) const {
   Total total;
   for (const auto& [key, share] : shares_) {
     if (key.service != service) continue;
@@ -128,7 +128,7 @@
   return total;
 }
 
-void ShareLedger::forget(TimePoint now) {
+void SlotTimeLedger::remove_inactive(TimePoint now) {
   std::erase_if(nodes_,
                 [&](const auto& entry) { return now - entry.second.last_heard > kGoneAfter; });
   std::erase_if(shares_, [&](const auto& entry) {
--- a/src/admission/slot_time_ledger.h
+++ b/src/admission/slot_time_ledger.h
@@ -20,11 +20,11 @@
 namespace stoathold {
 
 /// A tenant at a service, identified by the hashes of their names.
-struct ShareKey {
+struct TenantServiceKey {
   std::uint64_t service = 0;  ///< Hash of the service and the class of work.
   std::uint64_t tenant = 0;
 
-  bool operator==(const ShareKey&) const = default;
+  bool operator==(const TenantServiceKey&) const = default;
 };
 
 /// Time in which use decays to 1/e, the same as for requests in the rate limits of tenants. Shares
@@ -32,7 +32,7 @@
 inline constexpr Duration kUsageDecayTime = std::chrono::seconds(3);
 
 /// Slot time used by tenant and service, as known to this node. Used on one thread.
-class ShareLedger {
+class SlotTimeLedger {
  public:
   /// Sum over all tenants of a service.
   struct Total {
@@ -45,31 +45,31 @@
   [[nodiscard]] double weight_of(std::uint64_t tenant) const;
 
   /// Adds a request that waits at this node.
-  void wait(const ShareKey& key, Duration slot_time, TimePoint now);
+  void add_waiting(const TenantServiceKey& key, Duration slot_time, TimePoint now);
   /// Removes a request that no longer waits.
-  void end_wait(const ShareKey& key, Duration slot_time);
+  void remove_waiting(const TenantServiceKey& key, Duration slot_time);
   /// Charges a request that got a slot from this node.
-  void use(const ShareKey& key, Duration slot_time, TimePoint now);
+  void charge(const TenantServiceKey& key, Duration slot_time, TimePoint now);
 
   /// Applies another node's counter.
   /// @param node id of the sender, which changes with each start.
-  void take(std::uint64_t node, const ShareUse& report, TimePoint now);
+  void apply_report(std::uint64_t node, const SlotTimeReport& report, TimePoint now);
   /// Returns this node's counters that changed within `age`, newest first, at most `max_count`.
-  [[nodiscard]] std::vector<ShareUse> changes(Duration age, std::size_t max_count,
-                                              TimePoint now) const;
+  [[nodiscard]] std::vector<SlotTimeReport> changes(Duration age, std::size_t max_count,
+                                                    TimePoint now) const;
 
   /// Returns the tenant's recent slot time plus that of its requests waiting here, in seconds.
-  [[nodiscard]] double seconds(const ShareKey& key, TimePoint now) const;
+  [[nodiscard]] double used_seconds(const TenantServiceKey& key, TimePoint now) const;
   /// Returns the slot time of the tenant's requests waiting here, in seconds.
-  [[nodiscard]] double waiting_seconds(const ShareKey& key) const;
+  [[nodiscard]] double waiting_seconds(const TenantServiceKey& key) const;
   [[nodiscard]] Total total(std::uint64_t service, TimePoint now) const;
   /// Removes nodes and tenants that have been inactive for long; called periodically.
-  void forget(TimePoint now);
+  void remove_inactive(TimePoint now);
   [[nodiscard]] std::size_t size() const { return shares_.size(); }
 
  private:
   struct KeyHash {
-    std::size_t operator()(const ShareKey& key) const {
+    std::size_t operator()(const TenantServiceKey& key) const {
       return static_cast<std::size_t>(key.service ^ (key.tenant * 0x9E3779B97F4A7C15ULL));
     }
   };
@@ -86,16 +86,16 @@
   };
   struct Node {
     TimePoint last_heard{};
-    std::unordered_map<ShareKey, Counter, KeyHash> counters;
+    std::unordered_map<TenantServiceKey, Counter, KeyHash> counters;
   };
   struct Change {
     TimePoint time{};
-    ShareKey key;
+    TenantServiceKey key;
   };
-  using Shares = std::unordered_map<ShareKey, Share, KeyHash>;
+  using Shares = std::unordered_map<TenantServiceKey, Share, KeyHash>;
 
   /// Returns the share, creating it if the table is not full; null otherwise.
-  Share* share_of(const ShareKey& key, TimePoint now);
+  Share* share_of(const TenantServiceKey& key, TimePoint now);
 
   Shares shares_;
   std::unordered_map<std::uint64_t, Node> nodes_;
--- a/src/admission/zone_backlog.cc
+++ b/src/admission/zone_backlog.cc
@@ -23,12 +23,12 @@
 constexpr std::size_t kMaxServices = 256;
 
 std::uint32_t to_ms(Duration duration) {
-  return saturated<std::uint32_t>(
+  return saturating_cast<std::uint32_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
 }
 
 std::int64_t bin_of(TimePoint now) {
-  return now.time_since_epoch() / ArrivalSwing::kBin + 1;
+  return now.time_since_epoch() / ArrivalRateForecaster::kBin + 1;
 }
 
 /// Returns the increase of a counter; 0 if it did not increase.
@@ -50,21 +50,21 @@
     state.current_bin = bin;
   }
   while (state.current_bin < bin) {
-    const double rate = state.bin().arrivals / to_seconds(ArrivalSwing::kBin);
-    state.forecaster.observe(rate, TimePoint{state.current_bin * ArrivalSwing::kBin});
+    const double rate = state.bin().arrivals / to_seconds(ArrivalRateForecaster::kBin);
+    state.forecaster.observe(rate, TimePoint{state.current_bin * ArrivalRateForecaster::kBin});
     ++state.current_bin;
     state.bin() = Bin{};
   }
   return state;
 }
 
-void ZoneBacklog::count_arrival(std::uint64_t service, std::uint8_t priority, TimePoint now) {
+void ZoneBacklog::record_arrival(std::uint64_t service, std::uint8_t priority, TimePoint now) {
   ++own_counters_[{service, priority}].arrivals;
   ++advance(service, now).bin().arrivals;
 }
 
-void ZoneBacklog::count_freed(std::uint64_t service, std::uint8_t priority, Duration held,
-                              TimePoint now) {
+void ZoneBacklog::record_freed_slot(std::uint64_t service, std::uint8_t priority, Duration held,
+                                    TimePoint now) {
   ServiceBacklog& own = own_counters_[{service, priority}];
   ++own.freed_slots;
   own.freed_slot_ms += to_ms(held);
@@ -81,7 +81,7 @@
     entry.priority = group.priority;
     const auto found = waiting.find(group);
     if (found != waiting.end()) {
-      entry.waiting = saturated<std::uint16_t>(found->second.requests);
+      entry.waiting = saturating_cast<std::uint16_t>(found->second.requests);
       entry.waiting_slot_ms = to_ms(found->second.slot_time);
     }
     entries.push_back(entry);
@@ -89,8 +89,8 @@
   return entries;
 }
 
-void ZoneBacklog::take(std::uint64_t sender, const std::vector<ServiceBacklog>& report,
-                       TimePoint now) {
+void ZoneBacklog::apply_report(std::uint64_t sender, const std::vector<ServiceBacklog>& report,
+                               TimePoint now) {
   expire_peers(now);
   PeerReport& state = peers_[sender];
   const bool known = state.received != TimePoint{};
@@ -122,8 +122,9 @@
                 [now](const auto& entry) { return now - entry.second.received > kPeerLifetime; });
 }
 
-ServiceFigures ZoneBacklog::figures(std::uint64_t service, std::uint8_t priority, TimePoint now) {
-  ServiceFigures statistics;
+ServiceStatistics ZoneBacklog::statistics(std::uint64_t service, std::uint8_t priority,
+                                          TimePoint now) {
+  ServiceStatistics statistics;
   for (const auto& [sender, report] : peers_) {
     const Duration age = now - report.received;
     if (age > kReportLifetime) continue;
@@ -141,14 +142,14 @@
     freed += bin.freed;
     freed_ms += bin.freed_ms;
   }
-  statistics.freed_per_second = freed / (to_seconds(ArrivalSwing::kBin) * kBins);
+  statistics.slots_freed_per_second = freed / (to_seconds(ArrivalRateForecaster::kBin) * kBins);
   if (freed >= kMinFreedSlots) {
     statistics.slot_time = std::chrono::milliseconds(static_cast<std::int64_t>(freed_ms / freed));
   }
   return statistics;
 }
 
-const ArrivalSwing* ZoneBacklog::swing(std::uint64_t service, TimePoint now) {
+const ArrivalRateForecaster* ZoneBacklog::arrival_forecaster(std::uint64_t service, TimePoint now) {
   if (!services_.contains(service)) return nullptr;
   return &advance(service, now).forecaster;
 }
--- a/src/admission/zone_backlog.h
+++ b/src/admission/zone_backlog.h
@@ -28,11 +28,11 @@
 };
 
 /// Statistics of one service in the zone.
-struct ServiceFigures {
+struct ServiceStatistics {
   QueuedWork peers;           ///< On-time work at the other nodes of at least the same urgency.
   Duration oldest_report{0};  ///< Age of the oldest of their reports that was counted.
   std::optional<Duration> slot_time;  ///< Mean time a request holds a slot; empty if unknown.
-  double freed_per_second = 0;        ///< Slots released by requests.
+  double slots_freed_per_second = 0;  ///< Slots released by requests.
 };
 
 /// Aggregates the latest reports of the zone's nodes, and computes rates from the differences of
@@ -41,9 +41,10 @@
 class ZoneBacklog {
  public:
   /// Records a request for the service that arrived at this node.
-  void count_arrival(std::uint64_t service, std::uint8_t priority, TimePoint now);
+  void record_arrival(std::uint64_t service, std::uint8_t priority, TimePoint now);
   /// Records that a request of this node released a slot after holding it for `held`.
-  void count_freed(std::uint64_t service, std::uint8_t priority, Duration held, TimePoint now);
+  void record_freed_slot(std::uint64_t service, std::uint8_t priority, Duration held,
+                         TimePoint now);
   /// Returns this node's report.
   /// @param waiting on-time work that waits here, by service and priority.
   struct Group {
@@ -56,12 +57,14 @@
   [[nodiscard]] std::vector<ServiceBacklog> report(
       const std::map<Group, QueuedWork>& waiting) const;
   /// Applies a report of another node.
-  void take(std::uint64_t sender, const std::vector<ServiceBacklog>& report, TimePoint now);
+  void apply_report(std::uint64_t sender, const std::vector<ServiceBacklog>& report, TimePoint now);
 
   /// Returns the statistics that apply to work of a priority.
-  [[nodiscard]] ServiceFigures figures(std::uint64_t service, std::uint8_t priority, TimePoint now);
+  [[nodiscard]] ServiceStatistics statistics(std::uint64_t service, std::uint8_t priority,
+                                             TimePoint now);
   /// Returns the forecaster of a service's arrivals in the zone; null if there were none recently.
-  [[nodiscard]] const ArrivalSwing* swing(std::uint64_t service, TimePoint now);
+  [[nodiscard]] const ArrivalRateForecaster* arrival_forecaster(std::uint64_t service,
+                                                                TimePoint now);
 
  private:
   /// Counts of one time bin.
@@ -74,7 +77,7 @@
   struct ServiceState {
     std::array<Bin, kBins> bins{};
     std::int64_t current_bin = 0;  ///< Number of the current bin; 0 if there is none yet.
-    ArrivalSwing forecaster;
+    ArrivalRateForecaster forecaster;
 
     /// Returns the current bin.
     Bin& bin() { return bins.at(static_cast<std::size_t>(current_bin) % kBins); }
--- a/src/base/event_log.cc
+++ b/src/base/event_log.cc
@@ -154,7 +154,7 @@
   return bounded == nullptr || bounded->flush(timeout);
 }
 
-std::uint64_t log_lines_left_out() {
+std::uint64_t dropped_log_lines() {
   return dropped_total();
 }
 
--- a/src/base/event_log.h
+++ b/src/base/event_log.h
@@ -131,7 +131,7 @@
 bool flush_event_log(Duration timeout);
 /// Returns the number of lines dropped since the start, by the rate limit of an event or because
 /// the buffer was full.
-std::uint64_t log_lines_left_out();
+std::uint64_t dropped_log_lines();
 /// Logs one event. Thread safe.
 void log_event(Event event, std::initializer_list<EventField> fields);
 
--- a/src/base/memory_budget.cc
+++ b/src/base/memory_budget.cc
@@ -26,9 +26,9 @@
     case MemoryAccount::kJobRequests:
       return 50;
     case MemoryAccount::kRequestBodies:
-    case MemoryAccount::kListedResults:
+    case MemoryAccount::kCachedResults:
       return 75;
-    case MemoryAccount::kAnswers:
+    case MemoryAccount::kResponses:
       return 85;
     case MemoryAccount::kConnections:
     case MemoryAccount::kJobResults:
@@ -45,19 +45,19 @@
       return "connections";
     case MemoryAccount::kRequestBodies:
       return "request_bodies";
-    case MemoryAccount::kAnswers:
+    case MemoryAccount::kResponses:
       return "answers";
     case MemoryAccount::kJobRequests:
       return "job_requests";
     case MemoryAccount::kJobResults:
       return "job_results";
-    case MemoryAccount::kListedResults:
+    case MemoryAccount::kCachedResults:
       break;
   }
   return "listed_results";
 }
 
-std::uint64_t budget_of_process(std::uint64_t limit_bytes) {
+std::uint64_t process_memory_budget(std::uint64_t limit_bytes) {
   const std::uint64_t reserve = kReserveBytes + limit_bytes / kReserveDivisor;
   const std::uint64_t min_budget = limit_bytes / kMinBudgetDivisor;
   return std::max(min_budget, limit_bytes > reserve ? limit_bytes - reserve : 0);
@@ -86,7 +86,7 @@
 
 bool MemoryReservation::grow(std::uint64_t additional_bytes) {
   if (budget_ == nullptr) return true;
-  if (!budget_->make_room(account_, additional_bytes)) {
+  if (!budget_->reclaim_until_fits(account_, additional_bytes)) {
     budget_->count_refusal(account_);
     return false;
   }
@@ -108,15 +108,15 @@
   return !limited() || bytes <= account_limit(account);
 }
 
-bool MemoryBudget::has_room(MemoryAccount account, std::uint64_t bytes) const {
+bool MemoryBudget::fits(MemoryAccount account, std::uint64_t bytes) const {
   if (!limited()) return true;
   const std::uint64_t max_bytes = account_limit(account);
   return bytes <= max_bytes && used_ <= max_bytes - bytes;
 }
 
-bool MemoryBudget::make_room(MemoryAccount account, std::uint64_t bytes) {
+bool MemoryBudget::reclaim_until_fits(MemoryAccount account, std::uint64_t bytes) {
   if (!can_ever_fit(account, bytes)) return false;
-  while (!has_room(account, bytes)) {
+  while (!fits(account, bytes)) {
     const bool reclaimed = reclaimer_ && reclaimer_();
     if (!reclaimed) return false;
   }
@@ -124,7 +124,7 @@
 }
 
 std::optional<MemoryReservation> MemoryBudget::reserve(MemoryAccount account, std::uint64_t bytes) {
-  if (make_room(account, bytes)) return charge(account, bytes);
+  if (reclaim_until_fits(account, bytes)) return charge(account, bytes);
   count_refusal(account);
   return std::nullopt;
 }
--- a/src/base/memory_budget.h
+++ b/src/base/memory_budget.h
@@ -15,10 +15,10 @@
 enum class MemoryAccount : std::uint8_t {
   kConnections,    ///< Client connections, at an average size each.
   kRequestBodies,  ///< Request bodies that are being received or handled.
-  kAnswers,        ///< Responses that wait for their clients to read them.
+  kResponses,      ///< Responses that wait for their clients to read them.
   kJobRequests,    ///< Requests of batch items that are waiting or running.
   kJobResults,     ///< Results of batch items that are not durable yet.
-  kListedResults,  ///< Results of jobs as read from the log, cached for their readers.
+  kCachedResults,  ///< Results of jobs as read from the log, cached for their readers.
 };
 
 /// Number of accounts.
@@ -26,15 +26,15 @@
 
 /// All accounts, for metrics.
 inline constexpr std::array<MemoryAccount, kMemoryAccountCount> kAllMemoryAccounts{
-    MemoryAccount::kConnections, MemoryAccount::kRequestBodies, MemoryAccount::kAnswers,
-    MemoryAccount::kJobRequests, MemoryAccount::kJobResults,    MemoryAccount::kListedResults};
+    MemoryAccount::kConnections, MemoryAccount::kRequestBodies, MemoryAccount::kResponses,
+    MemoryAccount::kJobRequests, MemoryAccount::kJobResults,    MemoryAccount::kCachedResults};
 
 /// Returns the account's name for logs and metrics.
 std::string_view to_string(MemoryAccount account);
 
 /// Returns the budget of a process with this memory limit: the limit less a reserve for memory that
 /// is not accounted. 0 (no limit) stays 0.
-std::uint64_t budget_of_process(std::uint64_t limit_bytes);
+std::uint64_t process_memory_budget(std::uint64_t limit_bytes);
 
 class MemoryBudget;
 
@@ -87,9 +87,9 @@
   /// Returns whether the bytes would fit if nothing else were reserved.
   [[nodiscard]] bool can_ever_fit(MemoryAccount account, std::uint64_t bytes) const;
   /// Returns whether the bytes fit now.
-  [[nodiscard]] bool has_room(MemoryAccount account, std::uint64_t bytes) const;
+  [[nodiscard]] bool fits(MemoryAccount account, std::uint64_t bytes) const;
   /// Like `fits`, but calls the reclaimer for as long as it releases memory.
-  [[nodiscard]] bool make_room(MemoryAccount account, std::uint64_t bytes);
+  [[nodiscard]] bool reclaim_until_fits(MemoryAccount account, std::uint64_t bytes);
   /// Reserves bytes before they are allocated; returns nothing, and counts a refusal, if they do
   /// not fit.
   [[nodiscard]] std::optional<MemoryReservation> reserve(MemoryAccount account,
--- a/src/base/signal_mask.cc
+++ b/src/base/signal_mask.cc
@@ -14,12 +14,12 @@
 
 }  // namespace
 
-void hold_signals() {
+void block_signals() {
   const sigset_t mask = signal_set({SIGTERM, SIGINT, SIGHUP, SIGPIPE});
   pthread_sigmask(SIG_BLOCK, &mask, nullptr);
 }
 
-void heed_signals(std::initializer_list<int> signals) {
+void unblock_signals(std::initializer_list<int> signals) {
   const sigset_t mask = signal_set(signals);
   pthread_sigmask(SIG_UNBLOCK, &mask, nullptr);
 }
--- a/src/base/signal_mask.h
+++ b/src/base/signal_mask.h
@@ -10,10 +10,10 @@
 /// Blocks the signals that stop a process or make it reload its settings. Called first in `main`,
 /// since threads inherit the signal mask, and again when the event loop has ended. Also blocks
 /// SIGPIPE, so that a write to a pipe without a reader fails instead of ending the process.
-void hold_signals();
+void block_signals();
 
 /// Unblocks signals so that the installed handlers receive them, even if the parent process had
 /// blocked them. Called on the thread that runs the event loop.
-void heed_signals(std::initializer_list<int> signals);
+void unblock_signals(std::initializer_list<int> signals);
 
 }  // namespace stoathold
--- a/src/base/startup_progress.cc
+++ b/src/base/startup_progress.cc
@@ -6,25 +6,25 @@
 
 namespace stoathold {
 
-std::string_view to_string(StartStep step) {
+std::string_view to_string(StartupStep step) {
   switch (step) {
-    case StartStep::kConfigurationKnown:
+    case StartupStep::kConfigurationKnown:
       return "configuration_known";
-    case StartStep::kRunnerListKnown:
+    case StartupStep::kRunnerListKnown:
       return "runner_list_known";
-    case StartStep::kFirstSlotsHeld:
+    case StartupStep::kFirstSlotsHeld:
       return "first_slots_held";
-    case StartStep::kJobsRead:
+    case StartupStep::kJobsRead:
       return "jobs_read";
-    case StartStep::kFirstItemPlaced:
+    case StartupStep::kFirstItemPlaced:
       return "first_item_placed";
-    case StartStep::kFirstRequestServed:
+    case StartupStep::kFirstRequestServed:
       break;
   }
   return "first_request_served";
 }
 
-bool StartProgress::reached(StartStep step, TimePoint now) {
+bool StartupProgress::mark_reached(StartupStep step, TimePoint now) {
   bool& reached = reached_[static_cast<std::size_t>(step)];
   if (reached) return false;
   reached = true;
--- a/src/base/startup_progress.h
+++ b/src/base/startup_progress.h
@@ -13,7 +13,7 @@
 namespace stoathold {
 
 /// Steps from process start to the first work. Items and requests occur in any order.
-enum class StartStep : std::uint8_t {
+enum class StartupStep : std::uint8_t {
   kConfigurationKnown,
   kRunnerListKnown,
   kFirstSlotsHeld,
@@ -26,16 +26,16 @@
 inline constexpr std::size_t kStartupStepCount = 6;
 
 /// Returns the name of the step for logs.
-std::string_view to_string(StartStep step);
+std::string_view to_string(StartupStep step);
 
 /// Records the startup steps of one process. Created at its start; not thread safe.
-class StartProgress {
+class StartupProgress {
  public:
-  explicit StartProgress(TimePoint start) : start_(start) {}
+  explicit StartupProgress(TimePoint start) : start_(start) {}
 
   /// Logs the step if it is reached for the first time.
   /// @return whether it is the first time.
-  bool reached(StartStep step, TimePoint now);
+  bool mark_reached(StartupStep step, TimePoint now);
   /// Seconds from process start to each step reached so far, by step name.
   [[nodiscard]] const std::map<std::string, double>& seconds() const { return seconds_; }
 
--- a/src/core/batch_messages.h
+++ b/src/core/batch_messages.h
@@ -29,11 +29,11 @@
 /// Requests up to `max_items` items from a shard owner, one for each free runner slot.
 struct BatchPull {
   std::vector<std::string> services;
-  std::uint32_t places = 0;
+  std::uint32_t max_items = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(services, places);
+    archive(services, max_items);
   }
 };
 
--- a/src/core/batch_runners.cc
+++ b/src/core/batch_runners.cc
@@ -96,7 +96,7 @@
     auto& stream = batch_streams_.at(*position);
     if (stream.cancelled) continue;
     stream.cancelled = true;
-    ++counters_.yielded;
+    ++counters_.preempted;
     effects.push_back(CancelStream{*position});
     --running;
   }
@@ -160,7 +160,7 @@
     if (best == nullptr) continue;
     BatchPull request;
     request.services = {service};
-    request.places = std::min(slots, kMaxItemsPerPull);
+    request.max_items = std::min(slots, kMaxItemsPerPull);
     membership_.send(best->owner, std::move(request), effects);
   }
 }
@@ -356,7 +356,7 @@
   return loads;
 }
 
-std::vector<BatchRunnerStatistics> BatchRunners::figures() const {
+std::vector<BatchRunnerStatistics> BatchRunners::statistics() const {
   const std::scoped_lock lock(mutex_);
   std::vector<BatchRunnerStatistics> result;
   for (const auto& [id, row] : owned_runners_) {
--- a/src/core/batch_runners.h
+++ b/src/core/batch_runners.h
@@ -36,7 +36,7 @@
 struct BatchCounters {
   std::uint64_t started = 0;
   std::uint64_t finished = 0;
-  std::uint64_t yielded = 0;
+  std::uint64_t preempted = 0;
   /// Tokens kept as progress of streams that did not complete.
   std::uint64_t preserved_tokens = 0;
 };
@@ -78,7 +78,7 @@
   [[nodiscard]] std::optional<NodeId> owner_of(RunnerId runner) const;
   /// Returns the loads of the owned runners, which this node polls and sends in heartbeats.
   [[nodiscard]] std::vector<RunnerLoad> owned_loads() const;
-  [[nodiscard]] std::vector<BatchRunnerStatistics> figures() const;
+  [[nodiscard]] std::vector<BatchRunnerStatistics> statistics() const;
   [[nodiscard]] BatchCounters counters() const;
 
  private:
--- a/src/core/configuration_state.cc
+++ b/src/core/configuration_state.cc
@@ -23,7 +23,7 @@
 }
 
 ConfigurationApplyResult ConfigurationState::apply(Offset offset, const ConfigurationEntry& entry) {
-  if (offset < next_offset_ && policy_switches().configuration_strictly_upward) {
+  if (offset < next_offset_ && policy_switches().monotonic_configuration_offsets) {
     return ConfigurationApplyResult::kDuplicate;
   }
   next_offset_ = next_of(offset);
--- a/src/core/configuration_system.cc
+++ b/src/core/configuration_system.cc
@@ -53,8 +53,8 @@
                   "log",
                   "the change may or may not be accepted later",
                   Execution::kUnknown,
-                  knobs_.log_down_after};
-      if (!policy_switches().honest_not_run) error.execution = Execution::kNotRun;
+                  knobs_.log_down_timeout};
+      if (!policy_switches().report_unknown_execution) error.execution = Execution::kNotRun;
       effects.push_back(AnswerChange{position->first, false, {}, std::move(error)});
       position = changes_.erase(position);
       continue;
@@ -77,7 +77,7 @@
   const auto matches = [token](const auto& item) { return item.second.token == token; };
   const auto found = std::find_if(changes_.begin(), changes_.end(), matches);
   if (found == changes_.end() || status != LogStatus::kOk) return;
-  if (!policy_switches().answer_only_folded) {
+  if (!policy_switches().acknowledge_only_applied) {
     effects.push_back(AnswerChange{found->first, true, offset, {}});
     changes_.erase(found);
     return;
@@ -107,7 +107,7 @@
 }
 
 void ConfigurationSystem::apply_entry(Offset offset, const std::string& bytes) {
-  const bool strictly_ordered = policy_switches().configuration_strictly_upward;
+  const bool strictly_ordered = policy_switches().monotonic_configuration_offsets;
   if (strictly_ordered && offset != state_.next_offset()) return;
   ConfigurationEntry entry;
   if (!decode(bytes, entry)) {
@@ -116,7 +116,7 @@
   }
   state_.apply(offset, entry);
   recent_entries_.push_back({offset, bytes});
-  if (recent_entries_.size() > knobs_.configuration_tail) recent_entries_.pop_front();
+  if (recent_entries_.size() > knobs_.max_recent_configuration_entries) recent_entries_.pop_front();
 }
 
 void ConfigurationSystem::on_entries_applied(Effects& effects) {
@@ -199,7 +199,7 @@
   ConfigurationState received;
   if (!decode_configuration(snapshot.state, received)) return;
   const bool newer = received.next_offset() > state_.next_offset();
-  if (!newer && policy_switches().configuration_strictly_upward) return;
+  if (!newer && policy_switches().monotonic_configuration_offsets) return;
   state_ = std::move(received);
   recent_entries_.clear();
   on_entries_applied(effects);
--- a/src/core/job_scheduler.cc
+++ b/src/core/job_scheduler.cc
@@ -131,7 +131,7 @@
   }
 }
 
-bool JobScheduler::finish(const ItemKey& key, const ShardState& state) {
+bool JobScheduler::mark_finishing(const ItemKey& key, const ShardState& state) {
   const auto* job = state.find_job(key.job);
   if (job == nullptr || job->finished() || key.index >= job->item_count) return false;
   if (job->item_completed(key.index) || finishing_.contains(key)) return false;
@@ -149,7 +149,7 @@
   found->second.waiting.push_front(key.index);
 }
 
-void JobScheduler::give_back(const ReturnedItem& item) {
+void JobScheduler::return_item(const ReturnedItem& item) {
   if (assignments_.erase(item.key) == 0) return;
   auto& progress = progress_[item.key];
   if (item.tokens > progress.tokens) progress = {item.tokens, item.text};
--- a/src/core/job_scheduler.h
+++ b/src/core/job_scheduler.h
@@ -59,9 +59,9 @@
 
   /// Marks an item as finishing. Returns false if it is finishing or completed already, or if its
   /// job is unknown or finished.
-  bool finish(const ItemKey& key, const ShardState& state);
+  bool mark_finishing(const ItemKey& key, const ShardState& state);
   /// Returns an unfinished item to the queue and keeps its generated text for the next assignment.
-  void give_back(const ReturnedItem& item);
+  void return_item(const ReturnedItem& item);
   /// Extends the assignments of the items that `node` reports as in progress.
   /// @return items whose result is no longer needed, which `node` should stop.
   std::vector<ItemKey> renew(NodeId node, const std::vector<ItemKey>& items,
--- a/src/core/knobs.h
+++ b/src/core/knobs.h
@@ -39,15 +39,15 @@
   /// Period at which an idle lease holder renews its lease.
   Duration lease_renew_period = std::chrono::milliseconds(600);
   /// Time without log entries of the lease holder after which another node claims the lease.
-  Duration lease_silence = std::chrono::milliseconds(1000);
+  Duration lease_timeout = std::chrono::milliseconds(1000);
   /// Time for which a node must be the designated owner of a shard before it claims the lease.
-  Duration ownership_settle = std::chrono::milliseconds(300);
+  Duration ownership_settle_time = std::chrono::milliseconds(300);
   /// Period at which a follower or holder reads its shard's stream.
   Duration shard_poll_period = std::chrono::milliseconds(400);
   /// Time after which an append or read without a response is sent again.
   Duration log_retry_period = std::chrono::milliseconds(400);
   /// Time without a response to an append or other log call after which the log is considered down.
-  Duration log_down_after = std::chrono::milliseconds(2000);
+  Duration log_down_timeout = std::chrono::milliseconds(2000);
   /// Number of entries applied between two snapshots of a shard.
   std::uint32_t snapshot_interval = 512;
   /// Maximum number of items in one log record.
@@ -56,7 +56,7 @@
   std::uint32_t records_per_entry = 64;
   /// Maximum number of completions buffered for the log. While it is reached, no new items are
   /// assigned.
-  std::uint32_t completion_buffer = 4096;
+  std::uint32_t max_buffered_completions = 4096;
   /// Time after which an assigned item that is not renewed is assigned again.
   Duration assignment_timeout = std::chrono::seconds(15);
   /// Period at which a runner owner renews the items it works on.
@@ -67,11 +67,11 @@
   /// Period at which relays read the configuration stream.
   Duration configuration_poll_period = std::chrono::milliseconds(1000);
   /// Maximum number of recent configuration entries kept for peers that lag behind.
-  std::uint32_t configuration_tail = 256;
+  std::uint32_t max_recent_configuration_entries = 256;
 
   /// Initial and maximum wait before a call to a shard owner is sent again (exponential back-off).
   Duration call_retry_period = std::chrono::milliseconds(250);
-  Duration call_retry_limit = std::chrono::milliseconds(2000);
+  Duration max_call_retry_period = std::chrono::milliseconds(2000);
   /// Time after which a call fails.
   Duration call_timeout = std::chrono::seconds(10);
 
@@ -86,12 +86,12 @@
   /// an ejection (doubled each time).
   std::uint32_t eject_after_failures = 3;
   Duration eject_time = std::chrono::seconds(2);
-  Duration eject_time_limit = std::chrono::seconds(60);
+  Duration max_eject_time = std::chrono::seconds(60);
   /// Age after which a runner's load report is ignored.
-  Duration load_stale_after = std::chrono::seconds(5);
+  Duration load_report_ttl = std::chrono::seconds(5);
   /// Maximum load by which the runner with prefix affinity may exceed the alternative runner and
   /// still be chosen.
-  std::uint32_t affinity_slack = 4;
+  std::uint32_t max_affinity_load_difference = 4;
   /// Deadline of a request that does not specify one.
   Duration default_deadline = std::chrono::seconds(60);
 
--- a/src/core/node_core.cc
+++ b/src/core/node_core.cc
@@ -167,7 +167,7 @@
 
 bool NodeCore::log_reachable(TimePoint now) const {
   const std::scoped_lock lock(mutex_);
-  return !log_unanswered_since_ || now - *log_unanswered_since_ < knobs_.log_down_after;
+  return !log_unanswered_since_ || now - *log_unanswered_since_ < knobs_.log_down_timeout;
 }
 
 void NodeCore::tick(TimePoint now, Effects& effects) {
--- a/src/core/node_core.h
+++ b/src/core/node_core.h
@@ -153,7 +153,7 @@
   Membership membership_;
   ConfigurationSystem configuration_;
   RunnerTable runners_;
-  ShardCaller caller_;
+  ShardClient caller_;
   OnlineRequests online_;
   BatchRunners batch_;
   ShardSystem shards_;
--- a/src/core/online_requests.cc
+++ b/src/core/online_requests.cc
@@ -27,9 +27,9 @@
   return "none";
 }
 
-StreamVerdict to_stream_verdict(StreamOutcome outcome) {
-  if (outcome == StreamOutcome::kCompleted) return StreamVerdict::kSucceeded;
-  return outcome == StreamOutcome::kCancelled ? StreamVerdict::kNeutral : StreamVerdict::kFailed;
+StreamResult to_stream_verdict(StreamOutcome outcome) {
+  if (outcome == StreamOutcome::kCompleted) return StreamResult::kSucceeded;
+  return outcome == StreamOutcome::kCancelled ? StreamResult::kNeutral : StreamResult::kFailed;
 }
 
 std::string describe_outcome(StreamOutcome outcome) {
@@ -56,7 +56,7 @@
 
 OnlineRequests::OnlineRequests(std::uint64_t seed, const Knobs& knobs,
                                const ConfigurationSystem& configuration, RunnerTable& runners,
-                               ShardCaller& caller)
+                               ShardClient& caller)
     : knobs_(knobs),
       configuration_(configuration),
       runners_(runners),
@@ -145,12 +145,12 @@
   const auto position = requests_.find(id);
   if (position == requests_.end()) return true;
   auto& row = position->second;
-  if (const auto* verdict = std::get_if<ClaimVerdict>(&finished.answer)) {
+  if (const auto* verdict = std::get_if<ClaimResult>(&finished.answer)) {
     if (verdict->granted) {
       dispatch(row, now, effects);
     } else {
       const Execution execution =
-          policy_switches().honest_not_run ? Execution::kUnknown : Execution::kNotRun;
+          policy_switches().report_unknown_execution ? Execution::kUnknown : Execution::kNotRun;
       finish_with_error(id, ErrorCode::kDuplicateKey, Step::kClaim, execution, "", effects);
     }
     return true;
@@ -282,7 +282,7 @@
 }
 
 Execution OnlineRequests::execution_status(const OpenRequest& row) const {
-  if (!policy_switches().honest_not_run) return Execution::kNotRun;
+  if (!policy_switches().report_unknown_execution) return Execution::kNotRun;
   return row.dispatches == 0 ? Execution::kNotRun : Execution::kUnknown;
 }
 
@@ -318,7 +318,7 @@
   if (auto node = requests_.extract(id); !node.empty()) {
     auto& row = node.mapped();
     if (row.phase == Phase::kStreaming && streams_.erase(row.stream) > 0) {
-      runners_.on_stream_ended(row.runner, StreamVerdict::kNeutral, TimePoint{});
+      runners_.on_stream_ended(row.runner, StreamResult::kNeutral, TimePoint{});
     }
     auto& tenant = tenants_[row.request.tenant];
     if (tenant.open > 0) --tenant.open;
--- a/src/core/online_requests.h
+++ b/src/core/online_requests.h
@@ -59,7 +59,7 @@
 class OnlineRequests {
  public:
   OnlineRequests(std::uint64_t seed, const Knobs& knobs, const ConfigurationSystem& configuration,
-                 RunnerTable& runners, ShardCaller& caller);
+                 RunnerTable& runners, ShardClient& caller);
 
   /// Admits and dispatches a request, or completes it with an error.
   void admit(const OnlineRequest& request, TimePoint now, Effects& effects);
@@ -121,7 +121,7 @@
   const Knobs& knobs_;
   const ConfigurationSystem& configuration_;
   RunnerTable& runners_;
-  ShardCaller& caller_;
+  ShardClient& caller_;
   mutable RankedMutex mutex_{LockRank::kOnlineRequests};
   Random random_;
   std::unordered_map<RequestId, OpenRequest> requests_;
--- a/src/core/policy_switches.h
+++ b/src/core/policy_switches.h
@@ -29,7 +29,7 @@
   /// A resumed stream drops the tokens that the caller already has.
   bool drop_repeated_tokens = true;
   /// Configuration offsets only increase.
-  bool configuration_strictly_upward = true;
+  bool monotonic_configuration_offsets = true;
   /// A change against another version than the current one is rejected.
   bool conflict_on_version = true;
   /// A draining node finishes its work before it exits.
@@ -37,9 +37,9 @@
   /// A leaving runner receives no new requests.
   bool skip_leaving_runners = true;
   /// Writes are acknowledged only after their entry is applied.
-  bool answer_only_folded = true;
+  bool acknowledge_only_applied = true;
   /// "Not run" is reported only if the request cannot have run.
-  bool honest_not_run = true;
+  bool report_unknown_execution = true;
   /// Batch streams leave slots to online requests.
   bool online_before_batch = true;
 };
--- a/src/core/runner_table.cc
+++ b/src/core/runner_table.cc
@@ -70,7 +70,7 @@
 
 void RunnerTable::refresh_foreign_leaving(TimePoint now) {
   std::erase_if(leaving_reports_, [&](const auto& item) {
-    return now - item.second.received_at > knobs_.load_stale_after;
+    return now - item.second.received_at > knobs_.load_report_ttl;
   });
   foreign_leaving_.clear();
   for (const auto& [source, report] : leaving_reports_) {
@@ -89,7 +89,7 @@
 }
 
 std::uint32_t RunnerTable::load_of(const RunnerRow& row, TimePoint now) const {
-  const bool fresh = row.reported && now - row.reported_at < knobs_.load_stale_after;
+  const bool fresh = row.reported && now - row.reported_at < knobs_.load_report_ttl;
   if (!fresh) return row.own_streams;
   const std::uint32_t reported = row.report.online_streams + row.report.queued;
   return std::max(reported + row.streams_since_report, row.own_streams);
@@ -134,7 +134,8 @@
     if (random_.below(eligible_count) == 0) alternative = &row;
   }
   if (preferred == nullptr) return std::nullopt;
-  const bool keep = load_of(*preferred, now) <= load_of(*alternative, now) + knobs_.affinity_slack;
+  const bool keep =
+      load_of(*preferred, now) <= load_of(*alternative, now) + knobs_.max_affinity_load_difference;
   const RunnerRow& chosen = keep ? *preferred : *alternative;
   PickReason reason = keep ? PickReason::kAffinity : PickReason::kLessLoaded;
   if (remote_reason != PickReason::kNone) reason = remote_reason;
@@ -164,14 +165,14 @@
   ++rows_[found->second].streams_since_report;
 }
 
-void RunnerTable::on_stream_ended(RunnerId runner, StreamVerdict result, TimePoint now) {
+void RunnerTable::on_stream_ended(RunnerId runner, StreamResult result, TimePoint now) {
   const std::scoped_lock lock(mutex_);
   const auto found = index_.find(runner);
   if (found == index_.end()) return;
   auto& row = rows_[found->second];
   if (row.own_streams > 0) --row.own_streams;
-  if (result == StreamVerdict::kNeutral) return;
-  if (result == StreamVerdict::kSucceeded) {
+  if (result == StreamResult::kNeutral) return;
+  if (result == StreamResult::kSucceeded) {
     if (row.health != RunnerHealth::kHealthy) ++version_;
     row.failures = 0;
     row.eject_time = Duration{0};
@@ -182,7 +183,7 @@
   const bool failed_on_probation = row.health == RunnerHealth::kProbation;
   if (row.failures < knobs_.eject_after_failures && !failed_on_probation) return;
   const Duration doubled = std::max(row.eject_time * 2, knobs_.eject_time);
-  row.eject_time = std::min(doubled, knobs_.eject_time_limit);
+  row.eject_time = std::min(doubled, knobs_.max_eject_time);
   row.ejected_until = now + row.eject_time;
   row.health = RunnerHealth::kEjected;
   ++version_;
--- a/src/core/runner_table.h
+++ b/src/core/runner_table.h
@@ -37,7 +37,7 @@
 };
 
 /// Effect of a stream's outcome on its runner's health.
-enum class StreamVerdict : std::uint8_t {
+enum class StreamResult : std::uint8_t {
   kSucceeded,
   kFailed,
   kNeutral,  ///< Ended by the caller or the deadline; no effect.
@@ -98,7 +98,7 @@
   /// Uncounts a stream and updates the runner's health. A runner is ejected after
   /// `Knobs::eject_after_failures` consecutive failures, or a single one on probation; each
   /// ejection doubles its duration up to a limit.
-  void on_stream_ended(RunnerId runner, StreamVerdict result, TimePoint now);
+  void on_stream_ended(RunnerId runner, StreamResult result, TimePoint now);
 
   [[nodiscard]] std::optional<RunnerView> find(RunnerId runner) const;
   [[nodiscard]] std::vector<RunnerView> list() const;
--- a/src/core/shard_client.cc
+++ b/src/core/shard_client.cc
@@ -14,10 +14,10 @@
   return ShardId{static_cast<std::uint32_t>(mix_hashes(key, kShardSalt) % knobs.shard_count)};
 }
 
-ShardCaller::ShardCaller(std::uint64_t seed, const Knobs& knobs, const Membership& membership)
+ShardClient::ShardClient(std::uint64_t seed, const Knobs& knobs, const Membership& membership)
     : knobs_(knobs), membership_(membership), random_(seed) {}
 
-std::uint64_t ShardCaller::start(ShardId shard, ShardRequest request, Duration timeout,
+std::uint64_t ShardClient::start(ShardId shard, ShardRequest request, Duration timeout,
                                  TimePoint now, Effects& effects) {
   const std::scoped_lock lock(mutex_);
   const std::uint64_t id = ++last_id_;
@@ -31,11 +31,11 @@
   return id;
 }
 
-void ShardCaller::send(std::uint64_t id, OpenCall& call, TimePoint now, Effects& effects) {
+void ShardClient::send(std::uint64_t id, OpenCall& call, TimePoint now, Effects& effects) {
   const auto jitter = static_cast<Duration::rep>(
       random_.below(static_cast<std::uint64_t>(call.backoff.count()) / 2 + 1));
   call.next_send = now + call.backoff + Duration{jitter};
-  call.backoff = std::min(call.backoff * 2, knobs_.call_retry_limit);
+  call.backoff = std::min(call.backoff * 2, knobs_.max_call_retry_period);
   const auto owner = rendezvous_owner(shard_subject(call.shard), membership_.shard_members());
   if (!owner) {
     call.last_code = static_cast<int>(ErrorCode::kNotReady);
@@ -47,7 +47,7 @@
   membership_.send(*owner, ShardCall{attempt, call.shard, call.request}, effects);
 }
 
-void ShardCaller::on_reply(const ShardReply& reply, TimePoint now) {
+void ShardClient::on_reply(const ShardReply& reply, TimePoint now) {
   const std::scoped_lock lock(mutex_);
   const auto attempt = attempts_.find(reply.call);
   if (attempt == attempts_.end()) return;
@@ -74,7 +74,7 @@
   call.next_send = std::min(call.next_send, now + knobs_.call_retry_period);
 }
 
-void ShardCaller::tick(TimePoint now, Effects& effects) {
+void ShardClient::tick(TimePoint now, Effects& effects) {
   const std::scoped_lock lock(mutex_);
   std::vector<std::uint64_t> expired;
   for (auto& [id, call] : calls_) {
@@ -86,7 +86,8 @@
   }
   for (const std::uint64_t id : expired) {
     const auto& call = calls_.at(id);
-    const bool known_not_run = call.open_attempts == 0 || !policy_switches().honest_not_run;
+    const bool known_not_run =
+        call.open_attempts == 0 || !policy_switches().report_unknown_execution;
     const Execution execution = known_not_run ? Execution::kNotRun : Execution::kUnknown;
     const int unreachable = static_cast<int>(ErrorCode::kPeerUnreachable);
     const int code = call.last_code == 0 ? unreachable : call.last_code;
@@ -94,18 +95,18 @@
   }
 }
 
-void ShardCaller::finish(std::uint64_t id, ShardAnswer answer) {
+void ShardClient::finish(std::uint64_t id, ShardAnswer answer) {
   calls_.erase(id);
   std::erase_if(attempts_, [id](const auto& attempt) { return attempt.second == id; });
   finished_.push_back({id, std::move(answer)});
 }
 
-std::vector<FinishedCall> ShardCaller::take_finished() {
+std::vector<FinishedCall> ShardClient::take_finished() {
   const std::scoped_lock lock(mutex_);
   return std::exchange(finished_, {});
 }
 
-std::size_t ShardCaller::open_calls() const {
+std::size_t ShardClient::open_calls() const {
   const std::scoped_lock lock(mutex_);
   return calls_.size();
 }
--- a/src/core/shard_client.h
+++ b/src/core/shard_client.h
@@ -25,9 +25,9 @@
 
 /// Tracks the shard calls that this node makes. All shard calls are idempotent, since a job's id is
 /// derived from its key and a claim carries its claimant. Thread safe (`LockRank::kShardCalls`).
-class ShardCaller {
+class ShardClient {
  public:
-  ShardCaller(std::uint64_t seed, const Knobs& knobs, const Membership& membership);
+  ShardClient(std::uint64_t seed, const Knobs& knobs, const Membership& membership);
 
   /// Starts a call; `take_finished` returns its answer.
   /// @param timeout time after which the call fails.
--- a/src/core/shard_messages.h
+++ b/src/core/shard_messages.h
@@ -111,7 +111,7 @@
 };
 
 /// Answer to a `ClaimRequestCall`: whether the calling claimant holds the key.
-struct ClaimVerdict {
+struct ClaimResult {
   bool granted = false;
 
   template <class Archive>
@@ -131,7 +131,7 @@
   }
 };
 
-using ShardAnswer = std::variant<CallFailure, JobStatus, JobResults, ClaimVerdict>;
+using ShardAnswer = std::variant<CallFailure, JobStatus, JobResults, ClaimResult>;
 
 /// Answer to a `ShardCall`.
 struct ShardReply {
--- a/src/core/shard_replica.cc
+++ b/src/core/shard_replica.cc
@@ -26,7 +26,7 @@
 }
 
 bool ShardReplica::log_down(TimePoint now) const {
-  return pending_append_ && now - pending_append_->first_sent_at > knobs_.log_down_after;
+  return pending_append_ && now - pending_append_->first_sent_at > knobs_.log_down_timeout;
 }
 
 void ShardReplica::tick(const LeaseView& view, TimePoint now, Effects& effects) {
@@ -192,13 +192,13 @@
   if (value_of(holder.node) == 0) return true;
   if (holder.node == self_.node) return true;
   const Duration silence = last_successful_read_ - last_change_;
-  if (!view.holder_alive) return silence >= knobs_.lease_silence;
-  return silence >= knobs_.lease_silence * kSilentHolderFactor;
+  if (!view.holder_alive) return silence >= knobs_.lease_timeout;
+  return silence >= knobs_.lease_timeout * kSilentHolderFactor;
 }
 
 void ShardReplica::claim_lease_if_allowed(const LeaseView& view, TimePoint now, Effects& effects) {
   if (!view.self_is_designated || !caught_up_ || pending_append_) return;
-  if (now - *designated_since_ < knobs_.ownership_settle || !may_claim(view)) return;
+  if (now - *designated_since_ < knobs_.ownership_settle_time || !may_claim(view)) return;
   start_append({LeaseClaimed{state_.epoch()}}, {}, state_.epoch(), now, effects);
 }
 
@@ -241,7 +241,7 @@
     if (queued.operation != 0) operations.push_back(queued.operation);
     queue_.pop_front();
   }
-  if (!policy_switches().answer_only_folded) {
+  if (!policy_switches().acknowledge_only_applied) {
     for (const std::uint64_t operation : operations) resolved_.push_back({operation, true});
     operations.clear();
   }
--- a/src/core/shard_system.cc
+++ b/src/core/shard_system.cc
@@ -124,7 +124,7 @@
   const auto& state = row.replica.state();
   for (const auto& caller : operation.callers) {
     if (const auto* claim = std::get_if<ClaimRequestCall>(&operation.request)) {
-      reply(caller, ClaimVerdict{state.claimant_of(claim->key) == claim->claimant}, effects);
+      reply(caller, ClaimResult{state.claimant_of(claim->key) == claim->claimant}, effects);
       continue;
     }
     const auto* submit = std::get_if<SubmitJobCall>(&operation.request);
@@ -133,7 +133,7 @@
     const JobState* job = state.find_job(id);
     if (job != nullptr) {
       reply(caller, status_of(id, *job), effects);
-    } else if (submit != nullptr && !policy_switches().answer_only_folded) {
+    } else if (submit != nullptr && !policy_switches().acknowledge_only_applied) {
       const auto count = static_cast<std::uint32_t>(submit->items.size());
       reply(caller, JobStatus{id, submit->specification, count, 0, false}, effects);
     } else {
@@ -254,7 +254,7 @@
   const auto count = static_cast<std::uint32_t>(call.items.size());
   records.emplace_back(JobCommitted{call.job, operation, count, call.specification});
   SubmitJobCall stored_request{call.job, call.specification, {}};
-  if (!policy_switches().answer_only_folded) stored_request.items = call.items;
+  if (!policy_switches().acknowledge_only_applied) stored_request.items = call.items;
   row.operations[operation] = {{caller}, std::move(stored_request), {}, {}};
   row.submitting[call.job] = operation;
   row.replica.append(std::move(records), operation);
@@ -282,7 +282,7 @@
                               const ClaimRequestCall& call, TimePoint now, Effects& effects) {
   const auto claimant = row.replica.state().claimant_of(call.key);
   if (claimant && policy_switches().first_claim_wins) {
-    reply(caller, ClaimVerdict{*claimant == call.claimant}, effects);
+    reply(caller, ClaimResult{*claimant == call.claimant}, effects);
     return;
   }
   const std::uint64_t operation = new_operation();
@@ -329,7 +329,7 @@
   return counts;
 }
 
-std::vector<ShardStatistics> ShardSystem::figures() const {
+std::vector<ShardStatistics> ShardSystem::statistics() const {
   const std::scoped_lock lock(mutex_);
   std::vector<ShardStatistics> statistics;
   for (const auto& row : rows_) {
--- a/src/core/shard_system.h
+++ b/src/core/shard_system.h
@@ -68,7 +68,7 @@
   /// Counts of pending items of the owned shards by weight and service, largest weight first.
   [[nodiscard]] std::vector<PendingCount> pending() const;
   /// Statistics of every shard that this node follows.
-  [[nodiscard]] std::vector<ShardStatistics> figures() const;
+  [[nodiscard]] std::vector<ShardStatistics> statistics() const;
 
  private:
   struct CallReference {
--- a/src/core/shard_system_batch.cc
+++ b/src/core/shard_system_batch.cc
@@ -28,8 +28,8 @@
   const std::scoped_lock lock(mutex_);
   BatchAssign assigned;
   for (const auto& row : rows_) {
-    if (!row->owned || row->replica.queued_records() > knobs_.completion_buffer) continue;
-    const auto places = pull.places - static_cast<std::uint32_t>(assigned.items.size());
+    if (!row->owned || row->replica.queued_records() > knobs_.max_buffered_completions) continue;
+    const auto places = pull.max_items - static_cast<std::uint32_t>(assigned.items.size());
     if (places == 0) break;
     std::optional<Offset> missing_run;
     auto items = row->scheduler.assign(puller, pull.services, places, now, missing_run);
@@ -44,11 +44,11 @@
                                        std::vector<ItemKey>& accepted,
                                        std::vector<ItemKey>& acknowledged) {
   if (!item.finished) {
-    row.scheduler.give_back(item);
+    row.scheduler.return_item(item);
     acknowledged.push_back(item.key);
     return;
   }
-  if (row.scheduler.finish(item.key, row.replica.state())) {
+  if (row.scheduler.mark_finishing(item.key, row.replica.state())) {
     completed[item.key.job].push_back({item.key.index, item.text, item.tokens});
     accepted.push_back(item.key);
     return;
--- a/src/core/shard_system_reads.cc
+++ b/src/core/shard_system_reads.cc
@@ -23,7 +23,7 @@
       reply_failure(read.caller, ErrorCode::kShardMoving, Execution::kNotRun, effects);
     } else if (row.replica.barrier_passed(read.ticket)) {
       answer_read(row, read, now, effects);
-    } else if (now - read.queued_at > knobs_.log_down_after) {
+    } else if (now - read.queued_at > knobs_.log_down_timeout) {
       reply_failure(read.caller, ErrorCode::kLogUnavailable, Execution::kNotRun, effects);
     } else {
       row.reads.push_back(std::move(read));
--- a/src/gateway/attempt_result.cc
+++ b/src/gateway/attempt_result.cc
@@ -8,7 +8,7 @@
       return "completed";
     case AttemptResult::kFailed:
       return "failed";
-    case AttemptResult::kErrorPassedOn:
+    case AttemptResult::kErrorRelayed:
       return "error_passed_on";
     case AttemptResult::kImpossible:
       return "impossible";
@@ -26,7 +26,7 @@
   return "stopped";
 }
 
-AttemptOutcome evidence_of(AttemptResult result) {
+AttemptOutcome runner_outcome(AttemptResult result) {
   switch (result) {
     case AttemptResult::kCompleted:
       return AttemptOutcome::kServed;
@@ -37,7 +37,7 @@
     case AttemptResult::kBroken:
       return AttemptOutcome::kFailed;
     case AttemptResult::kFailed:
-    case AttemptResult::kErrorPassedOn:
+    case AttemptResult::kErrorRelayed:
       return AttemptOutcome::kError;
     default:
       return AttemptOutcome::kAbandoned;
--- a/src/gateway/attempt_result.h
+++ b/src/gateway/attempt_result.h
@@ -12,12 +12,12 @@
 /// Result of an attempt for the request. `kImpossible` and `kYielded` occur only for items of batch
 /// jobs.
 enum class AttemptResult : std::uint8_t {
-  kCompleted,      ///< The complete response was received.
-  kFailed,         ///< Error of the runner; another runner may succeed.
-  kErrorPassedOn,  ///< Error of the runner, relayed completely to the caller.
-  kImpossible,     ///< No runner can process the request.
-  kNotRun,         ///< The runner reported that it did not run the request; another may.
-  kUnreachable,    ///< Nothing reached the runner; another may be reachable.
+  kCompleted,     ///< The complete response was received.
+  kFailed,        ///< Error of the runner; another runner may succeed.
+  kErrorRelayed,  ///< Error of the runner, relayed completely to the caller.
+  kImpossible,    ///< No runner can process the request.
+  kNotRun,        ///< The runner reported that it did not run the request; another may.
+  kUnreachable,   ///< Nothing reached the runner; another may be reachable.
   kBroken,  ///< The connection broke and the request may have run; events received so far are kept.
   kYielded,  ///< Preempted: released its slot.
   kStopped,  ///< The caller disconnected, the deadline passed or the job was stopped.
@@ -27,6 +27,6 @@
 std::string_view to_string(AttemptResult result);
 
 /// Returns the outcome to record for the runner.
-AttemptOutcome evidence_of(AttemptResult result);
+AttemptOutcome runner_outcome(AttemptResult result);
 
 }  // namespace stoathold
--- a/src/gateway/event_framer.cc
+++ b/src/gateway/event_framer.cc
@@ -76,7 +76,7 @@
 }
 
 std::optional<StreamEvent> EventFramer::next() {
-  const std::string_view unread = rest();
+  const std::string_view unread = remainder();
   const std::size_t end = find_event_end(unread);
   if (end == std::string_view::npos) return std::nullopt;
   position_ += end;
@@ -84,7 +84,7 @@
   return StreamEvent{raw, parse_event_id(raw)};
 }
 
-std::string_view EventFramer::rest() const {
+std::string_view EventFramer::remainder() const {
   return std::string_view(buffer_).substr(position_);
 }
 
--- a/src/gateway/event_framer.h
+++ b/src/gateway/event_framer.h
@@ -30,7 +30,7 @@
   /// Returns the next complete event, if any; its view is valid until the next `feed`.
   std::optional<StreamEvent> next();
   /// Returns the bytes after the last complete event.
-  [[nodiscard]] std::string_view rest() const;
+  [[nodiscard]] std::string_view remainder() const;
 
  private:
   std::string buffer_;
--- a/src/gateway/fair_shares.cc
+++ b/src/gateway/fair_shares.cc
@@ -27,16 +27,16 @@
 /// routes.
 constexpr double kAboveShare = 1;
 
-ShareKey share_key(const PlacementRequest& request) {
+TenantServiceKey share_key(const PlacementRequest& request) {
   const auto work = static_cast<std::uint64_t>(request.work);
   return {mix_hashes(stable_hash(request.selection.service), work), stable_hash(request.tenant)};
 }
 
-TurnRequest turn_request(const PlacementRequest& request) {
+FairShareRequest turn_request(const PlacementRequest& request) {
   return {share_key(request), stable_hash(request.route), request.slot_time};
 }
 
-KindOfRequest request_kind(const PlacementRequest& request) {
+RequestClass request_kind(const PlacementRequest& request) {
   return {request.selection.service, request.route, request.priority};
 }
 
@@ -71,18 +71,20 @@
   }
 }
 
-void FairShares::register_with(PlacementDecisions& decisions) {
-  decisions.turn = [this](const PlacementRequest& request, TimePoint now) {
+void FairShares::register_with(PlacementPolicy& decisions) {
+  decisions.fair_share_rank = [this](const PlacementRequest& request, TimePoint now) {
     return turn(request, now);
   };
-  decisions.placed = [this](const PlacementRequest& request, TimePoint now) {
+  decisions.on_placed = [this](const PlacementRequest& request, TimePoint now) {
     placed(request, now);
   };
-  decisions.left = [this](const PlacementRequest& request, TimePoint now) { left(request, now); };
-  decisions.yields = [this](const PlacementRequest& request) { return yields(request); };
+  decisions.on_unplaced = [this](const PlacementRequest& request, TimePoint now) {
+    left(request, now);
+  };
+  decisions.yields_to_peers = [this](const PlacementRequest& request) { return yields(request); };
   // Fair shares take precedence: with tenants, new requests are not deferred in favor of retries,
   // which may be those of a tenant that floods the service.
-  decisions.may_leave_to_returned = [this](const PlacementRequest& request) {
+  decisions.may_yield_to_booked_retries = [this](const PlacementRequest& request) {
     return !has_tenants_ && has_lowest_priority(request);
   };
 }
@@ -90,36 +92,36 @@
 double FairShares::turn(const PlacementRequest& request, TimePoint now) {
   if (now - last_maintenance_ > kMaintenanceInterval) {
     last_maintenance_ = now;
-    turns_.forget(now);
+    turns_.remove_inactive(now);
     log_inversions(now);
   }
-  if (!policy_.shares_fairly) {
-    turns_.count_waiting(turn_request(request), now);
+  if (!policy_.uses_fair_shares) {
+    turns_.add_waiting(turn_request(request), now);
     return 0;
   }
-  const double turn = turns_.arrive(turn_request(request), now);
+  const double turn = turns_.add_and_rank(turn_request(request), now);
   if (turn >= kAboveShare) log_above_share(request, now);
   return turn;
 }
 
 void FairShares::placed(const PlacementRequest& request, TimePoint now) {
-  const Duration granted = turns_.placed(turn_request(request), now);
+  const Duration granted = turns_.on_placed(turn_request(request), now);
   counts_for(request).granted_seconds += to_seconds(granted);
   const bool in_time = now < request.due;
-  kinds_.count(request_kind(request), in_time ? KindOutcome::kInTime : KindOutcome::kLate, now);
+  kinds_.record(request_kind(request), in_time ? WaitOutcome::kInTime : WaitOutcome::kLate, now);
 }
 
 void FairShares::left(const PlacementRequest& request, TimePoint now) {
-  turns_.left(turn_request(request));
+  turns_.on_unplaced(turn_request(request));
   // A batch item that got no slot is queued again.
   if (request.work == WorkClass::kBatch) return;
-  kinds_.count(request_kind(request), KindOutcome::kNotPlaced, now);
+  kinds_.record(request_kind(request), WaitOutcome::kNotPlaced, now);
 }
 
 /// Priorities are not exchanged between nodes, so only online work of the lowest priority yields to
 /// the requests of other nodes.
 bool FairShares::yields(const PlacementRequest& request) const {
-  return request.turn >= kAboveShare && request.work == WorkClass::kOnline &&
+  return request.fair_share_rank >= kAboveShare && request.work == WorkClass::kOnline &&
          has_lowest_priority(request);
 }
 
@@ -131,17 +133,17 @@
 DigestPart FairShares::digest_part() {
   return {.add = [this](LoadDigest& digest, bool full_digest,
                         TimePoint now) { add_to_digest(digest, full_digest, now); },
-          .take = [this](const LoadDigest& digest, TimePoint now) { apply_digest(digest, now); }};
+          .apply = [this](const LoadDigest& digest, TimePoint now) { apply_digest(digest, now); }};
 }
 
 void FairShares::add_to_digest(LoadDigest& digest, bool full_digest, TimePoint now) const {
-  if (!policy_.shares_fairly) return;
+  if (!policy_.uses_fair_shares) return;
   const Duration age = full_digest ? kFullDigestRepeatWindow : kRepeatWindow;
   digest.share_uses = ledger_.changes(age, kMaxDigestEntries, now);
 }
 
 void FairShares::apply_digest(const LoadDigest& digest, TimePoint now) {
-  for (const ShareUse& use : digest.share_uses) ledger_.take(digest.sender, use, now);
+  for (const SlotTimeReport& use : digest.share_uses) ledger_.apply_report(digest.sender, use, now);
 }
 
 FairShares::TenantCount& FairShares::counts_for(const PlacementRequest& request) {
@@ -156,23 +158,23 @@
   TenantCount& count = counts_for(request);
   if (count.last_logged != TimePoint{} && now - count.last_logged < kLogInterval) return;
   count.last_logged = now;
-  const ShareKey key = share_key(request);
+  const TenantServiceKey key = share_key(request);
   log_event(Event::kTenantAboveShare,
             {{"service", request.selection.service},
              {"tenant", request.tenant},
              {"route", request.route},
-             {"times_part", decimal_text(turns_.over_part(key, now))},
+             {"times_part", decimal_text(turns_.share_ratio(key, now))},
              {"waiting_slot_s", decimal_text(ledger_.waiting_seconds(key))}});
 }
 
 void FairShares::log_inversions(TimePoint now) {
-  for (const KindInversion& inversion : kinds_.inversions(now)) {
+  for (const PriorityInversion& inversion : kinds_.inversions(now)) {
     log_event(Event::kUrgentKindServedLess,
               {{"service", inversion.urgent.service},
                {"route", inversion.urgent.route},
-               {"served", decimal_text(inversion.urgent_served)},
-               {"other_route", inversion.other.route},
-               {"other_served", decimal_text(inversion.other_served)}});
+               {"served", decimal_text(inversion.urgent_placed_fraction)},
+               {"other_route", inversion.less_urgent.route},
+               {"other_served", decimal_text(inversion.less_urgent_placed_fraction)}});
   }
 }
 
@@ -180,7 +182,7 @@
   std::vector<TenantShareRow> rows;
   for (const auto& [name, count] : tenants_) {
     rows.push_back({name.first, name.second, ledger_.waiting_seconds(count.key),
-                    count.granted_seconds, turns_.over_part(count.key, now)});
+                    count.granted_seconds, turns_.share_ratio(count.key, now)});
   }
   return rows;
 }
--- a/src/gateway/fair_shares.h
+++ b/src/gateway/fair_shares.h
@@ -1,6 +1,6 @@
 /// @file
-/// Fair sharing of slots among tenants and routes: connects the scheduler of `FairTurns` to the
-/// placement queue, the digests between nodes, the configuration, logs and metrics.
+/// Fair sharing of slots among tenants and routes: connects the scheduler of `FairShareRanker` to
+/// the placement queue, the digests between nodes, the configuration, logs and metrics.
 #pragma once
 
 #include <cstdint>
@@ -42,7 +42,7 @@
   /// Applies the tenants' weights and the priorities of a new configuration.
   void configure(const ServingConfiguration& configuration);
   /// Sets the callbacks of a placement queue that are decided by fair shares.
-  void register_with(PlacementDecisions& decisions);
+  void register_with(PlacementPolicy& decisions);
   /// Returns the handlers that write and read this part of the digests within the zone.
   [[nodiscard]] DigestPart digest_part();
   /// Adds this node's slot usage to a digest; does nothing while the policy does not share fairly.
@@ -51,12 +51,12 @@
   void apply_digest(const LoadDigest& digest, TimePoint now);
 
   [[nodiscard]] std::vector<TenantShareRow> tenant_rows(TimePoint now) const;
-  [[nodiscard]] const KindWatch& kinds() const { return kinds_; }
+  [[nodiscard]] const PriorityInversionMonitor& kinds() const { return kinds_; }
 
  private:
   /// Names and counters of one tenant at one service.
   struct TenantCount {
-    ShareKey key;
+    TenantServiceKey key;
     double granted_seconds = 0;
     TimePoint last_logged{};  ///< When it was last logged as above its fair share.
   };
@@ -72,9 +72,9 @@
   TenantCount& counts_for(const PlacementRequest& request);
 
   const LoadPolicy& policy_;
-  ShareLedger ledger_;
-  FairTurns turns_;
-  KindWatch kinds_;
+  SlotTimeLedger ledger_;
+  FairShareRanker turns_;
+  PriorityInversionMonitor kinds_;
   TenantCounts tenants_;
   /// Lowest priority (greatest number) of online work that a route or tenant has, by service.
   std::unordered_map<std::string, std::uint32_t> lowest_priority_;
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -98,7 +98,7 @@
              {"host", normalize_host(exchange.header("Host"))},
              {"reason", check.reason},
              {"configuration", std::to_string(context_.configuration->version)},
-             {"behind", std::to_string(position.behind())},
+             {"behind", std::to_string(position.unread_records())},
              {"confirmed_ms", position.age_text(monotonic_now())}});
 }
 
@@ -113,7 +113,7 @@
                     {"reason", check.reason},
                     {"key_hash", key_fingerprint(check.caller.key)},
                     {"configuration", std::to_string(configuration.version)},
-                    {"behind", std::to_string(position.behind())},
+                    {"behind", std::to_string(position.unread_records())},
                     {"confirmed_ms", position.age_text(monotonic_now())}});
   std::string body = std::string(R"({"error":")") + check.reason + R"("})";
   co_await exchange.respond(check.status, "application/json", std::move(body));
@@ -160,12 +160,12 @@
       std::make_shared<OnlineRequest>(context_, exchange, configuration, route, check.caller);
   const RequestOutcome outcome = co_await request->serve();
   if (outcome == RequestOutcome::kRefused) {
-    context_.tenant_limits.give_back(check.caller.tenant, monotonic_now());
+    context_.tenant_limits.refund(check.caller.tenant, monotonic_now());
   }
   const std::string kind(kind_name(route.kind));
   ++context_.metrics.requests[{kind, std::string(to_string(outcome))}];
   if (outcome == RequestOutcome::kServed) {
-    context_.start_progress.reached(StartStep::kFirstRequestServed, monotonic_now());
+    context_.start_progress.mark_reached(StartupStep::kFirstRequestServed, monotonic_now());
   }
   const Event event =
       outcome == RequestOutcome::kServed ? Event::kRequestServed : Event::kRequestEnded;
--- a/src/gateway/gateway_context.h
+++ b/src/gateway/gateway_context.h
@@ -41,14 +41,14 @@
         placement(executor, runners),
         admission(load_policy, runners, placement, zone),
         pool(executor, dialect),
-        quarantine([this](std::uint64_t runner) { return runners.last_heard(runner); }) {
-    quarantine.set_change_listener([this] { placement.drop_hopeless(); });
-    shares.register_with(placement.decisions());
+        quarantine([this](std::uint64_t runner) { return runners.last_receive_time(runner); }) {
+    quarantine.set_change_listener([this] { placement.drop_obsolete(); });
+    shares.register_with(placement.placement_policy());
   }
 
   /// Returns a predicate for runner selection: whether the pool has an idle connection to a runner.
   /// @param max_idle_time longest idle time of such a connection.
-  [[nodiscard]] std::function<bool(const Runner&)> connected(
+  [[nodiscard]] std::function<bool(const Runner&)> idle_connection_predicate(
       Duration max_idle_time = Duration::max()) const {
     return [this, max_idle_time](const Runner& runner) {
       return pool.has_idle(runner.record().address, runner.hash(), max_idle_time);
@@ -56,8 +56,8 @@
   }
 
   /// Returns the model of response times for runner selection; null if the policy does not use it.
-  [[nodiscard]] const SpeedModel* known_speeds() const {
-    return load_policy.knows_speeds ? &speeds : nullptr;
+  [[nodiscard]] const SpeedModel* enabled_speed_model() const {
+    return load_policy.uses_runner_speeds ? &speeds : nullptr;
   }
 
   /// Applies the tenants' limits and shares of a new configuration.
@@ -104,17 +104,17 @@
   TrafficSplit split;
   PlacementQueue placement;
   OnlineAdmission admission;
-  BatchTurns batch_turns;  ///< Shared by the nodes of the zone.
+  BatchArbiter batch_turns;  ///< Shared by the nodes of the zone.
   FairShares shares{load_policy};
   UpstreamPool pool;
   Quarantine quarantine;
   GatewayMetrics metrics;
-  StartProgress start_progress{monotonic_now()};
-  TenantLimits tenant_limits;
-  DurationsByRoute first_event_times;      ///< From sending a request to its first event.
-  ResponseDurationEstimator answer_pace;   ///< Of batch items.
-  SpeedModel speeds;                       ///< Of all routes at runners of all services.
-  TimePoint invalid_slowness_logged_at{};  ///< Last log event of an invalid report.
+  StartupProgress start_progress{monotonic_now()};
+  TenantRateLimiter tenant_limits;
+  DurationsByRoute first_event_times;            ///< From sending a request to its first event.
+  ResponseDurationEstimator response_durations;  ///< Of batch items.
+  SpeedModel speeds;                             ///< Of all routes at runners of all services.
+  TimePoint invalid_slowness_logged_at{};        ///< Last log event of an invalid report.
 };
 
 }  // namespace stoathold
--- a/src/gateway/headers.cc
+++ b/src/gateway/headers.cc
@@ -22,7 +22,7 @@
                      [&](std::string_view candidate) { return same_header_name(candidate, name); });
 }
 
-bool is_kept_from_runners(const HeaderDialect& dialect, std::string_view name) {
+bool is_stripped_header(const HeaderDialect& dialect, std::string_view name) {
   return is_connection_header(name) || same_header_name(name, dialect.expected_instance) ||
          same_header_name(name, dialect.api_key) || same_header_name(name, dialect.tenant);
 }
@@ -51,8 +51,8 @@
   const auto result = std::from_chars(text.data(), text.data() + text.size(), percent);
   const std::string_view rest(result.ptr, text.data() + text.size());
   const bool terminated = rest.empty() || rest.front() == ',' || rest.front() == ' ';
-  report.false_slowness = result.ec != std::errc{} || !terminated || !is_true_slowness(percent);
-  if (!report.false_slowness) report.slowness_percent = static_cast<std::uint32_t>(percent);
+  report.invalid_slowness = result.ec != std::errc{} || !terminated || !is_valid_slowness(percent);
+  if (!report.invalid_slowness) report.slowness_percent = static_cast<std::uint32_t>(percent);
 }
 
 }  // namespace
--- a/src/gateway/headers.h
+++ b/src/gateway/headers.h
@@ -16,7 +16,7 @@
 bool is_connection_header(std::string_view name);
 /// Returns whether a caller's header is not forwarded to runners, because it is hop-by-hop or only
 /// the gateway may set it.
-bool is_kept_from_runners(const HeaderDialect& dialect, std::string_view name);
+bool is_stripped_header(const HeaderDialect& dialect, std::string_view name);
 /// Returns whether the value of a `Connection` header lists this header as hop-by-hop.
 bool names_header(std::string_view connection, std::string_view name);
 /// Parses a load report `running,waiting,slots[,slowness]`. The slowness is the current duration of
--- a/src/gateway/metrics_page.cc
+++ b/src/gateway/metrics_page.cc
@@ -113,7 +113,7 @@
 
 /// Adds gauges of the runners' speeds by service, if the policy uses them.
 void add_runner_speeds(const GatewayContext& context, std::vector<MetricFamily>& families) {
-  if (!context.load_policy.knows_speeds) return;
+  if (!context.load_policy.uses_runner_speeds) return;
   const TimePoint now = monotonic_now();
   std::map<std::string, SpeedSummary> services;
   for (const auto& [id, runner] : context.runners.all()) {
@@ -126,15 +126,15 @@
   };
   constexpr std::array<Column, 5> kColumns{
       Column{"stoathold_runner_slowness_max", "Greatest multiple of the usual time reported now.",
-             &SpeedSummary::most_slowness},
+             &SpeedSummary::max_slowness},
       Column{"stoathold_runners_slow", "Runners that report over 1.5 times the usual time now.",
              &SpeedSummary::slow_runners},
       Column{"stoathold_runner_slowness_age_seconds", "Since the runner longest unheard reported.",
-             &SpeedSummary::greatest_age_seconds},
+             &SpeedSummary::max_report_age_seconds},
       Column{"stoathold_runner_relative_time_min", "Learned time of the fastest against the mean.",
-             &SpeedSummary::least_relative_time},
+             &SpeedSummary::min_relative_time},
       Column{"stoathold_runner_relative_time_max", "Learned time of the slowest against the mean.",
-             &SpeedSummary::most_relative_time}};
+             &SpeedSummary::max_relative_time}};
   for (const Column& column : kColumns) {
     std::map<std::string, double> values;
     for (const auto& [service, summary] : services) values[service] = summary.*column.value;
@@ -241,12 +241,12 @@
   families.insert(families.end(), {std::move(granted), std::move(waiting), std::move(usage_ratio)});
 }
 
-MetricFamily waits_by_kind(const KindWatch& kinds) {
+MetricFamily waits_by_kind(const PriorityInversionMonitor& kinds) {
   MetricFamily family =
       make_family("stoathold_slot_waits_total",
                   "Waits for a slot by kind of request and how they ended.", MetricType::Counter);
-  for (const auto& [kind, counts] : kinds.kinds()) {
-    for (const KindOutcome outcome : kKindOutcomes) {
+  for (const auto& [kind, counts] : kinds.classes()) {
+    for (const WaitOutcome outcome : kWaitOutcomes) {
       add_counter(family,
                   {make_label("service", kind.service), make_label("route", kind.route),
                    make_label("priority", std::to_string(kind.priority)),
@@ -271,13 +271,13 @@
       Column{"stoathold_store_topic_calls_total", "Calls to the store by call and topic.",
              &TrafficCount::calls},
       Column{"stoathold_store_time_outs_total", "Calls given up when their time was over.",
-             &TrafficCount::time_outs},
+             &TrafficCount::timeouts},
       Column{"stoathold_store_refused_total", "Calls that the store turned away or never got.",
              &TrafficCount::refused},
       Column{"stoathold_store_sent_bytes_total", "Bytes of calls to the store, without headers.",
              &TrafficCount::bytes_sent},
       Column{"stoathold_store_answered_bytes_total", "Bytes of answers that came whole.",
-             &TrafficCount::bytes_answered}};
+             &TrafficCount::bytes_received}};
   for (const Column& column : kColumns) {
     MetricFamily family = make_family(column.name, column.help, MetricType::Counter);
     for (const auto& [kind, count] : metrics.store_traffic.counts()) {
--- a/src/gateway/online_admission.cc
+++ b/src/gateway/online_admission.cc
@@ -28,7 +28,7 @@
 constexpr std::size_t kMaxListedRequests = 100;
 
 std::uint8_t saturated_priority(std::uint32_t priority) {
-  return saturated<std::uint8_t>(priority);
+  return saturating_cast<std::uint8_t>(priority);
 }
 
 }  // namespace
@@ -36,42 +36,43 @@
 OnlineAdmission::OnlineAdmission(const LoadPolicy& policy, const RunnerRegistry& registry,
                                  PlacementQueue& placement, std::string zone)
     : policy_(policy), registry_(registry), placement_(placement), zone_(std::move(zone)) {
-  placement_.decisions().reviews = [this] { return active(); };
-  placement_.decisions().review = [this](const PlacementRequest& request,
-                                         const QueuePosition& position,
-                                         TimePoint now) { return review(request, position, now); };
-  placement_.decisions().batch_leaves = [this](const std::string& service, TimePoint now) {
+  placement_.placement_policy().reviews_enabled = [this] { return active(); };
+  placement_.placement_policy().review = [this](const PlacementRequest& request,
+                                                const QueuePosition& position, TimePoint now) {
+    return review(request, position, now);
+  };
+  placement_.placement_policy().batch_reserve_fraction = [this](const std::string& service,
+                                                                TimePoint now) {
     const std::uint32_t slots = active() ? slot_capacity(service, now).zone : 0;
     return slots == 0 ? 0.0
                       : expected_retries_within(service, kBatchPreemptionTime, now) * 1.0 / slots;
   };
-  placement_.decisions().returns_due = [this](const std::string& service) {
+  placement_.placement_policy().expects_booked_retries = [this](const std::string& service) {
     return expected_retries_within(service, Duration{0}, monotonic_now()) > 0;
   };
-  placement_.decisions().waits = [this](const PlacementRequest& request,
-                                        const QueuePosition& position, TimePoint now) {
+  placement_.placement_policy().on_queued = [this](const PlacementRequest& request,
+                                                   const QueuePosition& position, TimePoint now) {
     const auto inputs = rejection_inputs(request, position, now);
     if (inputs) counters_.predicted_wait.observe(inputs->forecast.wait);
   };
 }
 
-AdmissionStanding OnlineAdmission::classify_arrival(const std::string& service,
-                                                    const std::string& tenant,
-                                                    std::uint32_t priority,
-                                                    std::optional<ContentHash> content) {
+AdmissionClass OnlineAdmission::classify_arrival(const std::string& service,
+                                                 const std::string& tenant, std::uint32_t priority,
+                                                 std::optional<ContentHash> content) {
   const TimePoint now = monotonic_now();
-  if (content && retrying_callers_.take(value_of(*content), now)) {
+  if (content && retrying_callers_.consume(value_of(*content), now)) {
     ++counters_.retried;
     ++tenant_counts(tenant)["came"];
-    return AdmissionStanding::kReturned;
+    return AdmissionClass::kBookedRetry;
   }
-  backlog_.count_arrival(stable_hash(service), saturated_priority(priority), now);
-  return AdmissionStanding::kNewcomer;
+  backlog_.record_arrival(stable_hash(service), saturated_priority(priority), now);
+  return AdmissionClass::kNewRequest;
 }
 
 void OnlineAdmission::record_slot_release(const SlotRelease& release) {
-  backlog_.count_freed(stable_hash(release.service), saturated_priority(release.priority),
-                       release.hold_time, monotonic_now());
+  backlog_.record_freed_slot(stable_hash(release.service), saturated_priority(release.priority),
+                             release.hold_time, monotonic_now());
   if (release.completed) slot_times_.observe(release.route, release.hold_time);
 }
 
@@ -80,10 +81,10 @@
                                           const PlacementRejection& rejection) {
   ++counters_.retry_advised;
   ++tenant_counts(tenant)["told"];
-  if (!rejection.promised || !rejection.retry_after) return;
+  if (!rejection.has_booking || !rejection.retry_after) return;
   ++counters_.promised;
   const TimePoint now = monotonic_now();
-  retrying_callers_.tell(value_of(content), stable_hash(service), now + *rejection.retry_after,
+  retrying_callers_.book(value_of(content), stable_hash(service), now + *rejection.retry_after,
                          now);
 }
 
@@ -93,9 +94,8 @@
   std::uint32_t expected = 0;
   const std::uint64_t hash = stable_hash(service);
   // Retries of the current and of the previous booking bin may still be in transit.
-  for (Duration at = -ReturningCallers::kBookingBin; at <= ahead;
-       at += ReturningCallers::kBookingBin) {
-    expected += retrying_callers_.expected_at(hash, now + at);
+  for (Duration at = -RetryBookings::kBookingBin; at <= ahead; at += RetryBookings::kBookingBin) {
+    expected += retrying_callers_.booked_at(hash, now + at);
   }
   return expected;
 }
@@ -106,24 +106,24 @@
       .tenants[known || counters_.tenants.size() < kMaxTenantRows ? tenant : kOtherTenants];
 }
 
-SlotRoom OnlineAdmission::slot_capacity(const std::string& service, TimePoint now) {
+SlotCapacity OnlineAdmission::slot_capacity(const std::string& service, TimePoint now) {
   CachedCapacity& entry = capacity_cache_[service];
   const bool fresh = entry.counted_at != TimePoint{} && now - entry.counted_at < kCapacityCacheTtl;
   if (!fresh) entry = {count_slot_capacity(service, now), now};
   return entry.capacity;
 }
 
-SlotRoom OnlineAdmission::count_slot_capacity(const std::string& service, TimePoint now) const {
-  SlotRoom capacity;
-  for (const auto& runner : registry_.of_service(service)) {
+SlotCapacity OnlineAdmission::count_slot_capacity(const std::string& service, TimePoint now) const {
+  SlotCapacity capacity;
+  for (const auto& runner : registry_.runners_of_service(service)) {
     if (!runner->usable(now)) continue;
     const std::string& zone = runner->record().zone;
     if (zone == zone_) {
       capacity.zone += runner->slots() - std::min(runner->slots(), runner->lent());
-      capacity.of_batch += runner->preemptible();
+      capacity.preemptible_batch += runner->preemptible();
     } else if (registry_.lending() && registry_.zone_lends(zone) && runner->zone_load_known(now)) {
       const double free_part = std::max(0.0, 1 - runner->load(now));
-      capacity.spare_elsewhere += static_cast<std::uint32_t>(free_part * runner->slots());
+      capacity.lent_by_other_zones += static_cast<std::uint32_t>(free_part * runner->slots());
     }
   }
   return capacity;
@@ -135,10 +135,10 @@
   const std::string& service = request.selection.service;
   const std::uint64_t hash = stable_hash(service);
   RejectionInputs inputs;
-  inputs.figures = backlog_.figures(hash, saturated_priority(request.priority), now);
+  inputs.figures = backlog_.statistics(hash, saturated_priority(request.priority), now);
   inputs.capacity = slot_capacity(service, now);
-  const ArrivalSwing* swing = backlog_.swing(hash, now);
-  inputs.arrivals_per_second = swing == nullptr ? 0 : swing->rate();
+  const ArrivalRateForecaster* swing = backlog_.arrival_forecaster(hash, now);
+  inputs.arrivals_per_second = swing == nullptr ? 0 : swing->recent_rate();
   const auto forecast =
       predict_wait(position, inputs.figures, inputs.capacity, inputs.arrivals_per_second);
   if (!forecast) return std::nullopt;
@@ -146,64 +146,65 @@
   return inputs;
 }
 
-std::optional<ReturnTime> OnlineAdmission::choose_retry_time(const PlacementRequest& request,
-                                                             const RejectionInputs& inputs,
-                                                             TimePoint now) {
+std::optional<RetryTime> OnlineAdmission::retry_time_for(const PlacementRequest& request,
+                                                            const RejectionInputs& inputs,
+                                                            TimePoint now) {
   const std::uint64_t service = stable_hash(request.selection.service);
-  return choose_return({.service = service,
-                        .now = now,
-                        .deadline = request.deadline,
-                        .first_event = request.first_event,
-                        .wait = inputs.forecast.wait,
-                        .freed_per_second = freed_per_second(inputs.figures, inputs.capacity.zone),
-                        .swing = backlog_.swing(service, now)},
-                       retrying_callers_, process_random());
+  return choose_retry_time(
+      {.service = service,
+       .now = now,
+       .deadline = request.deadline,
+       .first_event = request.first_event,
+       .wait = inputs.forecast.wait,
+       .slots_freed_per_second = slots_freed_per_second(inputs.figures, inputs.capacity.zone),
+       .forecaster = backlog_.arrival_forecaster(service, now)},
+      retrying_callers_, process_random());
 }
 
 std::optional<PlacementRejection> OnlineAdmission::review(const PlacementRequest& request,
                                                           const QueuePosition& position,
                                                           TimePoint now) {
-  if (!active() || request.last_start == TimePoint{}) return std::nullopt;
+  if (!active() || request.latest_start == TimePoint{}) return std::nullopt;
   const auto inputs = rejection_inputs(request, position, now);
-  WaitReview wait{.standing = request.standing,
-                  .arrival = request.arrival,
-                  .due = request.due,
-                  .last_start = request.last_start,
-                  .forecast = std::nullopt,
-                  .retry_after = std::nullopt};
+  AdmissionInput wait{.admission_class = request.standing,
+                      .arrival = request.arrival,
+                      .due = request.due,
+                      .latest_start = request.latest_start,
+                      .forecast = std::nullopt,
+                      .retry_after = std::nullopt};
   if (inputs) wait.forecast = inputs->forecast;
-  auto reason = review_wait(wait, now);
+  auto reason = check_admission(wait, now);
   if (!reason) return std::nullopt;
   const RejectionInputs known_inputs = inputs.value_or(RejectionInputs{});
-  const auto retry = choose_retry_time(request, known_inputs, now);
-  if (retry) wait.retry_after = retry->after;
-  reason = review_wait(wait, now);
+  const auto retry = retry_time_for(request, known_inputs, now);
+  if (retry) wait.retry_after = retry->delay;
+  reason = check_admission(wait, now);
   if (!reason) return std::nullopt;
   log_event(Event::kWaitRejected,
             {{"service", request.selection.service},
              {"route", request.route},
              {"tenant", request.tenant},
              {"reason", std::string(to_string(*reason))},
-             {"returned", request.standing == AdmissionStanding::kReturned ? "yes" : "no"},
+             {"returned", request.standing == AdmissionClass::kBookedRetry ? "yes" : "no"},
              {"age_ms", milliseconds_text(now - request.arrival)},
              {"due_ms", milliseconds_text(request.due - now)},
-             {"last_start_ms", milliseconds_text(request.last_start - now)},
+             {"last_start_ms", milliseconds_text(request.latest_start - now)},
              {"predicted_ms", inputs ? milliseconds_text(known_inputs.forecast.wait) : "unknown"},
              {"ahead", std::to_string(known_inputs.forecast.ahead)},
              {"ahead_here", std::to_string(position.ahead.requests)},
              {"waiting_peers", std::to_string(known_inputs.figures.peers.requests)},
              {"oldest_report_ms", milliseconds_text(known_inputs.figures.oldest_report)},
              {"slots", std::to_string(known_inputs.capacity.zone)},
-             {"of_batch", std::to_string(known_inputs.capacity.of_batch)},
-             {"spare_elsewhere", std::to_string(known_inputs.capacity.spare_elsewhere)},
+             {"of_batch", std::to_string(known_inputs.capacity.preemptible_batch)},
+             {"spare_elsewhere", std::to_string(known_inputs.capacity.lent_by_other_zones)},
              {"slot_ms", milliseconds_text(known_inputs.figures.slot_time.value_or(Duration{0}))},
              {"arrivals_per_s", decimal_text(known_inputs.arrivals_per_second)},
              {"retry_after_ms", wait.retry_after ? milliseconds_text(*wait.retry_after) : "none"},
-             {"promised", retry && retry->promised ? "yes" : "no"}});
-  counters_.batch_slots_at_rejections += known_inputs.capacity.of_batch;
-  counters_.rejections_with_batch_slots += known_inputs.capacity.of_batch > 0 ? 1 : 0;
+             {"promised", retry && retry->has_booking ? "yes" : "no"}});
+  counters_.batch_slots_at_rejections += known_inputs.capacity.preemptible_batch;
+  counters_.rejections_with_batch_slots += known_inputs.capacity.preemptible_batch > 0 ? 1 : 0;
   ++tenant_counts(request.tenant)[to_string(*reason)];
-  return PlacementRejection{*reason, wait.retry_after, retry && retry->promised};
+  return PlacementRejection{*reason, wait.retry_after, retry && retry->has_booking};
 }
 
 void OnlineAdmission::add_reports(LoadDigest& digest, TimePoint now) {
@@ -212,12 +213,13 @@
   digest.returns = retrying_callers_.report(kMaxRetryReports, now);
 }
 
-void OnlineAdmission::take_reports(const LoadDigest& digest, TimePoint now) {
-  backlog_.take(digest.sender, digest.backlogs, now);
-  for (const ReturnReport& report : digest.returns) retrying_callers_.take_report(report, now);
+void OnlineAdmission::apply_reports(const LoadDigest& digest, TimePoint now) {
+  backlog_.apply_report(digest.sender, digest.backlogs, now);
+  for (const RetryBookingReport& report : digest.returns)
+    retrying_callers_.apply_report(report, now);
 }
 
-std::string OnlineAdmission::waiting_page() {
+std::string OnlineAdmission::render_waiting_requests() {
   const TimePoint now = monotonic_now();
   std::ostringstream page;
   for (const auto& [service, waits] : placement_.online_waits(now)) {
@@ -229,7 +231,7 @@
       if (++listed > kMaxListedRequests) return;
       const auto inputs = rejection_inputs(request, position, now);
       page << "  route=" << request.route << " tenant=" << request.tenant
-           << " priority=" << request.priority << " turn=" << decimal_text(request.turn)
+           << " priority=" << request.priority << " turn=" << decimal_text(request.fair_share_rank)
            << " waited_ms=" << milliseconds_text(now - request.arrival)
            << " due_ms=" << milliseconds_text(request.due - now)
            << " ahead_here=" << position.ahead.requests;
@@ -238,7 +240,7 @@
              << " predicted_ms=" << milliseconds_text(inputs->forecast.wait)
              << " oldest_report_ms=" << milliseconds_text(inputs->figures.oldest_report);
       }
-      page << (request.standing == AdmissionStanding::kReturned ? " returned\n" : "\n");
+      page << (request.standing == AdmissionClass::kBookedRetry ? " returned\n" : "\n");
     };
     placement_.visit_online(service, list, now);
   }
--- a/src/gateway/online_admission.h
+++ b/src/gateway/online_admission.h
@@ -27,8 +27,8 @@
 /// Inputs of a rejection decision, kept for its log event.
 struct RejectionInputs {
   WaitForecast forecast;
-  ServiceFigures figures;
-  SlotRoom capacity;
+  ServiceStatistics figures;
+  SlotCapacity capacity;
   double arrivals_per_second = 0;
 };
 
@@ -42,14 +42,14 @@
                   PlacementQueue& placement, std::string zone);
 
   /// Returns whether waits are predicted and requests rejected on the basis of the predictions.
-  [[nodiscard]] bool active() const { return policy_.predicts_waits; }
+  [[nodiscard]] bool active() const { return policy_.predicts_wait_times; }
   /// Returns whether any caller is expected to retry; only then is the content hash of a request
   /// needed to recognize it.
   [[nodiscard]] bool expects_retries() const { return active() && !retrying_callers_.empty(); }
   /// Records the arrival of a request and returns whether it is new or an expected retry.
   /// @param content hash of the request's content; `nullopt` if no retries are expected.
-  AdmissionStanding classify_arrival(const std::string& service, const std::string& tenant,
-                                     std::uint32_t priority, std::optional<ContentHash> content);
+  AdmissionClass classify_arrival(const std::string& service, const std::string& tenant,
+                                  std::uint32_t priority, std::optional<ContentHash> content);
   /// The release of a slot by a request.
   struct SlotRelease {
     std::string service;
@@ -79,7 +79,7 @@
   /// Adds this node's backlog and expected retries to a digest.
   void add_reports(LoadDigest& digest, TimePoint now);
   /// Applies the backlog and expected retries reported by another node of the zone.
-  void take_reports(const LoadDigest& digest, TimePoint now);
+  void apply_reports(const LoadDigest& digest, TimePoint now);
 
   /// Counts by step: "told" (sent a time to retry), "came" (retried), or the reason of a rejection.
   using TenantStepCounts = std::map<std::string_view, std::uint64_t>;
@@ -100,32 +100,32 @@
   [[nodiscard]] std::size_t expected_retries() const { return retrying_callers_.size(); }
   /// Returns a plain-text listing of the requests that wait for each service, in queue order, with
   /// the inputs of their predicted waits.
-  [[nodiscard]] std::string waiting_page();
+  [[nodiscard]] std::string render_waiting_requests();
 
  private:
   std::optional<PlacementRejection> review(const PlacementRequest& request,
                                            const QueuePosition& position, TimePoint now);
-  [[nodiscard]] std::optional<ReturnTime> choose_retry_time(const PlacementRequest& request,
-                                                            const RejectionInputs& inputs,
-                                                            TimePoint now);
+  [[nodiscard]] std::optional<RetryTime> retry_time_for(const PlacementRequest& request,
+                                                           const RejectionInputs& inputs,
+                                                           TimePoint now);
   /// Returns how many callers that were promised a slot are expected to retry between one booking
   /// bin ago and `ahead` from now.
   [[nodiscard]] std::uint32_t expected_retries_within(const std::string& service, Duration ahead,
                                                       TimePoint now) const;
   TenantStepCounts& tenant_counts(const std::string& tenant);
-  [[nodiscard]] SlotRoom slot_capacity(const std::string& service, TimePoint now);
-  [[nodiscard]] SlotRoom count_slot_capacity(const std::string& service, TimePoint now) const;
+  [[nodiscard]] SlotCapacity slot_capacity(const std::string& service, TimePoint now);
+  [[nodiscard]] SlotCapacity count_slot_capacity(const std::string& service, TimePoint now) const;
 
   const LoadPolicy& policy_;
   const RunnerRegistry& registry_;
   PlacementQueue& placement_;
   std::string zone_;
   ZoneBacklog backlog_;
-  SlotTimes slot_times_;
-  ReturningCallers retrying_callers_;
+  SlotTimeEstimator slot_times_;
+  RetryBookings retrying_callers_;
   Counters counters_;
   struct CachedCapacity {
-    SlotRoom capacity;
+    SlotCapacity capacity;
     TimePoint counted_at{};
   };
   std::map<std::string, CachedCapacity>
--- a/src/gateway/online_relay.cc
+++ b/src/gateway/online_relay.cc
@@ -23,7 +23,7 @@
   constexpr int kGatewayTimeout = 504;  // At the deadline; says nothing about the runner.
   if (was_not_run(runner, head, context_.dialect)) co_return AttemptResult::kNotRun;
   const bool success = head.status >= 200 && head.status < 300;
-  if (success && lacks_proof(head, context_.dialect)) co_return AttemptResult::kBroken;
+  if (success && is_unverified(head, context_.dialect)) co_return AttemptResult::kBroken;
   const bool claims_not_run = head.status == 429 || head.status == 503 || head.status == 408;
   // Relayed, these statuses would tell the caller that the request was not run.
   if (claims_not_run && !route_.repeatable()) co_return AttemptResult::kBroken;
@@ -36,7 +36,7 @@
   if (success && route_.kind == RouteKind::kStreaming) co_return co_await relay_events(runner);
   const AttemptResult result = co_await relay_body(runner);
   const bool error_relayed = runner_error && result == AttemptResult::kCompleted;
-  co_return error_relayed ? AttemptResult::kErrorPassedOn : result;
+  co_return error_relayed ? AttemptResult::kErrorRelayed : result;
 }
 
 asio::awaitable<bool> OnlineRequest::send_head() {
@@ -62,7 +62,7 @@
   const TimePoint now = monotonic_now();
   const Duration time = now - attempt_start_;
   context_.first_event_times.observe(route_.name, time);
-  if (!context_.load_policy.knows_speeds) return;
+  if (!context_.load_policy.uses_runner_speeds) return;
   context_.speeds.observe_first_event(stable_hash(route_.name), runner.speed(), runner_work_, time,
                                       now);
   if (!expected_times_) return;
@@ -71,7 +71,7 @@
 }
 
 void OnlineRequest::record_event_gap(Runner& runner) {
-  if (!context_.load_policy.knows_speeds || !last_event_) return;
+  if (!context_.load_policy.uses_runner_speeds || !last_event_) return;
   const TimePoint now = monotonic_now();
   const auto gap = gap_window_.advance(*last_event_, now);
   if (!gap) return;
@@ -136,7 +136,7 @@
     if (status != UpstreamStatus::kOk) co_return classify_failure(status);
     if (view.empty()) break;
     bool invalid = false;
-    runner.heard(monotonic_now());
+    runner.record_receive(monotonic_now());
     const bool delivered = co_await send_complete_events(runner, view, invalid);
     if (!delivered) co_return AttemptResult::kStopped;
     if (invalid) co_return AttemptResult::kBroken;
@@ -148,7 +148,7 @@
       upstream_->set_deadline(deadline_);
     }
   }
-  if (!framer_.rest().empty()) co_return AttemptResult::kBroken;
+  if (!framer_.remainder().empty()) co_return AttemptResult::kBroken;
   if (!head_sent_) {
     const bool sent = co_await send_head();
     if (!sent) co_return AttemptResult::kStopped;
--- a/src/gateway/online_request.cc
+++ b/src/gateway/online_request.cc
@@ -38,7 +38,7 @@
 
 /// Returns whether the caller has the response of the runner.
 bool is_final(AttemptResult result) {
-  return result == AttemptResult::kCompleted || result == AttemptResult::kErrorPassedOn;
+  return result == AttemptResult::kCompleted || result == AttemptResult::kErrorRelayed;
 }
 
 /// Returns whether the request may have run although the caller has no complete response.
@@ -97,7 +97,7 @@
   for (auto& header : exchange_.headers()) {
     const bool replaced = same_header_name(header.name, dialect.deadline_ms) ||
                           (last_event_ && same_header_name(header.name, dialect.last_event_id));
-    if (replaced || is_kept_from_runners(dialect, header.name)) continue;
+    if (replaced || is_stripped_header(dialect, header.name)) continue;
     if (names_header(connection, header.name)) continue;
     forwarded_headers_.push_back(std::move(header));
   }
@@ -213,7 +213,7 @@
 
 Duration OnlineRequest::max_idle_time() const {
   if (route_.repeatable()) return Duration::max();
-  return context_.load_policy.keeps_connections ? kMaxIdleTimeIfUnsafe : Duration{0};
+  return context_.load_policy.reuses_connections ? kMaxIdleTimeIfUnsafe : Duration{0};
 }
 
 UpstreamRequest OnlineRequest::build_request(const Runner& runner) const {
@@ -250,7 +250,7 @@
   upstream_->set_deadline_extender([this, runner]() -> std::optional<TimePoint> {
     const TimePoint now = monotonic_now();
     if (silence_timeout_.count() == 0 || now >= deadline_) return std::nullopt;
-    const bool active = runner->last_heard() > silent_since_;
+    const bool active = runner->last_receive_time() > silent_since_;
     if (!active || now >= silent_since_ + kBusyFactor * silence_timeout_) return std::nullopt;
     return std::min(now + silence_timeout_ / 2, deadline_);
   });
@@ -264,13 +264,13 @@
       [weak = weak_from_this(), runner](boost::system::error_code error) {
         const auto self = weak.lock();
         if (error || !self || self->stopped_ || self->stage_ == RunStage::kDelivering) return;
-        const bool requested = self->context_.placement.relieve(*runner);
+        const bool requested = self->context_.placement.preempt_if_overcommitted(*runner);
         self->watch_runner_queue(runner, requested);
       });
 }
 
 asio::awaitable<AttemptResult> OnlineRequest::attempt(const std::shared_ptr<Runner>& runner) {
-  const RunnerHold hold(runner, prompt_.tokens);
+  const RunnerMemoryReservation hold(runner, prompt_.tokens);
   const auto upstream = std::make_shared<UpstreamExchange>(context_.pool);
   upstream_ = upstream;
   upstream->set_deadline(deadline_);
@@ -287,25 +287,25 @@
     status = co_await upstream->read_head();
     result = classify_failure(status);
     if (status == UpstreamStatus::kOk) {
-      stage_ = RunStage::kBegun;
-      note_answer(context_, *runner, upstream->head(), tokens_to_read_);
+      stage_ = RunStage::kResponseStarted;
+      record_response_head(context_, *runner, upstream->head(), tokens_to_read_);
       result = co_await relay_response(*runner);
     }
   }
   runner_queue_timer_.cancel();
   if (may_have_run(result)) ++runs_;
-  quarantine_check_.note_run(
+  quarantine_check_.record_run(
       {.runner = runner->hash(),
        .stage = stage_,
        .progressed = result == AttemptResult::kCompleted,
        .closed_by_runner = result == AttemptResult::kBroken && upstream->closed_by_runner()});
-  if (result == AttemptResult::kCompleted || result == AttemptResult::kErrorPassedOn) {
+  if (result == AttemptResult::kCompleted || result == AttemptResult::kErrorRelayed) {
     upstream->release();
   } else {
     upstream->cancel();
   }
   upstream_.reset();
-  runner->end_attempt(evidence_of(result), monotonic_now(), std::exchange(tokens_to_read_, 0));
+  runner->end_attempt(runner_outcome(result), monotonic_now(), std::exchange(tokens_to_read_, 0));
   record_slot_release(result);
   if (result != AttemptResult::kCompleted) log_attempt(*runner, result, status);
   ++context_.metrics.attempts[std::string(to_string(status))];
--- a/src/gateway/online_wait.cc
+++ b/src/gateway/online_wait.cc
@@ -35,33 +35,34 @@
                        .zone = context_.zone,
                        .affinity_key = prompt_.shared_key,
                        .prompt_tokens = prompt_.tokens,
-                       .shared_tokens = prompt_.shared_tokens,
+                       .shared_prefix_tokens = prompt_.shared_prefix_tokens,
                        .load_limit = kFullLoad,
                        .excluded = tried_runners_};
   const Duration idle_limit = max_idle_time();
-  if (idle_limit.count() > 0) request.selection.connected = context_.connected(idle_limit);
-  request.selection.keep_connections = context_.load_policy.keeps_connections;
+  if (idle_limit.count() > 0)
+    request.selection.has_reusable_connection = context_.idle_connection_predicate(idle_limit);
+  request.selection.prefer_reusable_connections = context_.load_policy.reuses_connections;
   request.selection.node = context_.node;
   request.priority = priority();
   // Placed after `due`, the request would miss its latency objective and only delay others.
   const Duration first_event = context_.first_event_times.expected(route_.name);
   request.due = arrival_ + route_.latency_objective - first_event;
-  request.give_up = std::min(arrival_ + kMaxSlotWait, deadline_);
-  request.hopeless = [this] { return quarantine_check_.is_quarantined(); };
+  request.queue_deadline = std::min(arrival_ + kMaxSlotWait, deadline_);
+  request.is_obsolete = [this] { return quarantine_check_.is_quarantined(); };
   if (head_sent_) {
     // The caller is already reading the stream, so the next event is due regardless of when the
     // request arrived.
     const TimePoint now = monotonic_now();
     request.due = now + route_.event_gap_objective - first_event;
-    request.give_up = std::min(now + kMaxSlotWait, deadline_);
+    request.queue_deadline = std::min(now + kMaxSlotWait, deadline_);
   }
-  request.selection.speeds = context_.known_speeds();
-  request.selection.needs = {.route = stable_hash(route_.name),
-                             .first_event_due = request.due + first_event,
-                             .event_gap_objective = route_.event_gap_objective};
+  request.selection.speeds = context_.enabled_speed_model();
+  request.selection.latency_objectives = {.route = stable_hash(route_.name),
+                                          .first_event_due = request.due + first_event,
+                                          .event_gap_objective = route_.event_gap_objective};
   request.tenant = caller_.tenant;
   request.route = route_.name;
-  request.last_use = deadline_;
+  request.first_event_deadline = deadline_;
   request.runs_once = !route_.repeatable();
   request.arrival = arrival_;
   request.deadline = deadline_;
@@ -71,7 +72,7 @@
   const TimePoint wait_start = monotonic_now();
   const auto runner = co_await context_.placement.acquire(ticket_);
   if (runner) context_.admission.record_wait(monotonic_now() - wait_start);
-  tokens_to_read_ = ticket_->selection().tokens_to_read;
+  tokens_to_read_ = ticket_->selection().uncached_prompt_tokens;
   runner_work_ = ticket_->selection().runner_work();
   expected_times_ = ticket_->selection().expected;
   if (runner) log_choice(ticket_->selection());
@@ -89,13 +90,13 @@
   return std::min(deadline_, since + patience);
 }
 
-AdmissionStanding OnlineRequest::standing() {
+AdmissionClass OnlineRequest::standing() {
   if (!standing_) {
     std::optional<ContentHash> content;
     if (context_.admission.expects_retries()) content = quarantine_check_.content();
     standing_ = context_.admission.classify_arrival(service_, caller_.tenant, priority(), content);
   }
-  return head_sent_ || runs_ > 0 ? AdmissionStanding::kBegun : *standing_;
+  return head_sent_ || runs_ > 0 ? AdmissionClass::kStarted : *standing_;
 }
 
 /// A slot is wasted on a request whose caller has left before the first event. The latest start
@@ -104,13 +105,14 @@
   request.standing = standing();
   request.slot_time = context_.admission.slot_time(route_.name);
   const TimePoint since = head_sent_ ? monotonic_now() : arrival_;
-  request.last_use = caller_timeout_at(since);
+  request.first_event_deadline = caller_timeout_at(since);
   // The usual time may have been learned while runners were full. The bound keeps it from rejecting
   // requests after runners are free again.
-  const Duration longest = scale(request.last_use - since, kMaxFirstEventFraction);
-  request.last_start = request.last_use - std::min(request.first_event, longest);
+  const Duration longest = scale(request.first_event_deadline - since, kMaxFirstEventFraction);
+  request.latest_start = request.first_event_deadline - std::min(request.first_event, longest);
   const bool streams = route_.kind == RouteKind::kStreaming;
-  request.give_up = streams ? request.last_start : std::min(request.give_up, request.last_start);
+  request.queue_deadline =
+      streams ? request.latest_start : std::min(request.queue_deadline, request.latest_start);
 }
 
 void OnlineRequest::log_choice(const Selection& choice) {
--- a/src/gateway/prompt_prefix.cc
+++ b/src/gateway/prompt_prefix.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-TokenCount parse_answer_tokens(std::string_view text) {
+TokenCount parse_response_tokens(std::string_view text) {
   take_field(text);
   const std::string_view response = take_field(text);
   TokenCount tokens;
@@ -40,7 +40,7 @@
     prefix.tokens += tokens;
     if (last) break;
     prefix.shared_key = mix_hashes(prefix.shared_key, stable_hash(part.substr(0, colon)));
-    prefix.shared_tokens += tokens;
+    prefix.shared_prefix_tokens += tokens;
   }
   return prefix;
 }
--- a/src/gateway/prompt_prefix.h
+++ b/src/gateway/prompt_prefix.h
@@ -11,9 +11,9 @@
 
 /// Summary of a prompt's segments for routing.
 struct PromptPrefix {
-  std::uint64_t shared_key = 0;     ///< Hash of the segments shared with other requests; 0 if none.
-  std::uint32_t shared_tokens = 0;  ///< Tokens in the shared segments.
-  std::uint32_t tokens = 0;         ///< Tokens in all segments.
+  std::uint64_t shared_key = 0;  ///< Hash of the segments shared with other requests; 0 if none.
+  std::uint32_t shared_prefix_tokens = 0;  ///< Tokens in the shared segments.
+  std::uint32_t tokens = 0;                ///< Tokens in all segments.
 };
 
 /// Parses `id:tokens,id:tokens,...`; the last segment is not shared with other requests. For
@@ -22,6 +22,6 @@
 
 /// Parses `prompt,response`, both in tokens.
 /// @return the token limit of the response; 0 if malformed.
-TokenCount parse_answer_tokens(std::string_view text);
+TokenCount parse_response_tokens(std::string_view text);
 
 }  // namespace stoathold
--- a/src/gateway/response_duration_estimator.cc
+++ b/src/gateway/response_duration_estimator.cc
@@ -30,8 +30,8 @@
   estimate_for(stable_hash(route)).gap.observe(gap);
 }
 
-void ResponseDurationEstimator::observe_answer(const std::string& route, TokenCount max_tokens,
-                                               EventCount events) {
+void ResponseDurationEstimator::observe_response(const std::string& route, TokenCount max_tokens,
+                                                 EventCount events) {
   if (max_tokens.value == 0 || events.value == 0) return;
   RouteEstimate& entry = estimate_for(stable_hash(route));
   const double sample = static_cast<double>(max_tokens.value) / static_cast<double>(events.value);
@@ -40,8 +40,8 @@
   entry.local = true;
 }
 
-Duration ResponseDurationEstimator::expected_rest(const std::string& route, TokenCount max_tokens,
-                                                  EventCount events) const {
+Duration ResponseDurationEstimator::remaining_time(const std::string& route, TokenCount max_tokens,
+                                                   EventCount events) const {
   const auto found = estimates_.find(stable_hash(route));
   if (found == estimates_.end() || !found->second.tokens_per_event.known()) return Duration{0};
   const RouteEstimate& entry = found->second;
@@ -52,8 +52,8 @@
   return scale(gap, std::max(0.0, remaining_events));
 }
 
-std::vector<RoutePace> ResponseDurationEstimator::learned() const {
-  std::vector<RoutePace> reports;
+std::vector<RouteStreamRate> ResponseDurationEstimator::local_estimates() const {
+  std::vector<RouteStreamRate> reports;
   for (const auto& [route, entry] : estimates_) {
     if (!entry.local || reports.size() >= kMaxReportedRoutes) continue;
     const double tokens = std::min(kMaxReportedTokens, entry.tokens_per_event.value);
@@ -63,7 +63,7 @@
   return reports;
 }
 
-void ResponseDurationEstimator::take(const RoutePace& report) {
+void ResponseDurationEstimator::apply_report(const RouteStreamRate& report) {
   RouteEstimate& entry = estimate_for(report.route);
   entry.reported_gap = Duration(report.event_gap_us);
   if (!entry.local) entry.tokens_per_event.value = report.tokens_per_event_16ths / kReportUnit;
--- a/src/gateway/response_duration_estimator.h
+++ b/src/gateway/response_duration_estimator.h
@@ -26,17 +26,17 @@
   /// Records a complete response.
   /// @param max_tokens token limit of the response.
   /// @param events number of its events.
-  void observe_answer(const std::string& route, TokenCount max_tokens, EventCount events);
+  void observe_response(const std::string& route, TokenCount max_tokens, EventCount events);
   /// Returns the expected time for the rest of a response; 0 if the route is unknown.
   /// @param max_tokens token limit of the complete response.
   /// @param events number of events received so far.
-  [[nodiscard]] Duration expected_rest(const std::string& route, TokenCount max_tokens,
-                                       EventCount events) const;
+  [[nodiscard]] Duration remaining_time(const std::string& route, TokenCount max_tokens,
+                                        EventCount events) const;
 
   /// Returns the estimates that this node has learned itself, for reports to other nodes.
-  [[nodiscard]] std::vector<RoutePace> learned() const;
+  [[nodiscard]] std::vector<RouteStreamRate> local_estimates() const;
   /// Applies a report of another node; estimates learned here take precedence.
-  void take(const RoutePace& report);
+  void apply_report(const RouteStreamRate& report);
 
  private:
   struct RouteEstimate {
--- a/src/gateway/runner_response.cc
+++ b/src/gateway/runner_response.cc
@@ -7,14 +7,14 @@
 
 namespace stoathold {
 
-void note_answer(GatewayContext& context, Runner& runner, const UpstreamHead& head,
-                 std::uint32_t& tokens_to_read) {
+void record_response_head(GatewayContext& context, Runner& runner, const UpstreamHead& head,
+                          std::uint32_t& uncached_prompt_tokens) {
   const TimePoint now = monotonic_now();
-  runner.heard(now);
-  runner.prompt_read(std::exchange(tokens_to_read, 0));
+  runner.record_receive(now);
+  runner.record_prompt_processed(std::exchange(uncached_prompt_tokens, 0));
   const auto report = parse_load(head.header(context.dialect.load));
   if (!report) return;
-  runner.take_report(*report, now);
+  runner.apply_load_report(*report, now);
   apply_slowness_report(context, runner, *report, now);
 }
 
@@ -27,7 +27,7 @@
   return !head.header(dialect.not_run).empty();
 }
 
-bool lacks_proof(const UpstreamHead& head, const HeaderDialect& dialect) {
+bool is_unverified(const UpstreamHead& head, const HeaderDialect& dialect) {
   return !head.header("Content-Encoding").empty() ||
          head.header(dialect.response_signature).empty();
 }
--- a/src/gateway/speed_reports.cc
+++ b/src/gateway/speed_reports.cc
@@ -36,7 +36,7 @@
     std::vector<Runner*> unshared;
     std::vector<Runner*> already_shared;
     for (const auto& [id, runner] : runners_.all()) {
-      if (runner->speed().unshared()) {
+      if (runner->speed().has_unshared_report()) {
         unshared.push_back(runner.get());
       } else if (runner->speed().samples() > 0) {
         already_shared.push_back(runner.get());
@@ -68,32 +68,32 @@
 
 void apply_slowness_report(GatewayContext& context, Runner& runner, const LoadReport& report,
                            TimePoint now) {
-  if (report.false_slowness &&
+  if (report.invalid_slowness &&
       now - context.invalid_slowness_logged_at >= kInvalidSlownessLogInterval) {
     context.invalid_slowness_logged_at = now;
     log_event(Event::kSlownessRefused, {{"runner", runner.record().id},
-                                        {"least_percent", std::to_string(kLeastSlownessPercent)},
-                                        {"most_percent", std::to_string(kMostSlownessPercent)}});
+                                        {"least_percent", std::to_string(kMinSlownessPercent)},
+                                        {"most_percent", std::to_string(kMaxSlownessPercent)}});
   }
   if (!report.slowness_percent) return;
   record_slowness_support(context);
-  context.speeds.take_slowness(runner.speed(), *report.slowness_percent, now, true);
+  context.speeds.apply_slowness_report(runner.speed(), *report.slowness_percent, now, true);
 }
 
 DigestPart speed_digest_part(GatewayContext& context) {
   const auto reporter = std::make_shared<SpeedReporter>(context.runners);
   const auto add = [&context, reporter](LoadDigest& digest, bool full_digest, TimePoint now) {
-    if (context.load_policy.knows_speeds) reporter->add(digest, full_digest, now);
+    if (context.load_policy.uses_runner_speeds) reporter->add(digest, full_digest, now);
   };
   const auto take = [&context](const LoadDigest& digest, TimePoint now) {
     for (const SpeedReport& report : digest.speeds) {
-      Runner* runner = context.runners.find_hash(report.runner);
+      Runner* runner = context.runners.find_by_hash(report.runner);
       if (runner == nullptr) continue;
-      const bool reported = context.speeds.take(runner->speed(), report, now);
+      const bool reported = context.speeds.apply_report(runner->speed(), report, now);
       if (reported) record_slowness_support(context);
     }
   };
-  return {.add = add, .take = take};
+  return {.add = add, .apply = take};
 }
 
 }  // namespace stoathold
--- a/src/jobs/held_requests.h
+++ b/src/jobs/held_requests.h
@@ -22,7 +22,7 @@
   /// Returns whether more requests may be read. One read is always allowed while none is held, so
   /// that jobs make progress even if the rest of the process uses up the budget.
   [[nodiscard]] bool can_read_more() const {
-    return bytes_ == 0 || budget_.has_room(MemoryAccount::kJobRequests, kMaxReadBytes);
+    return bytes_ == 0 || budget_.fits(MemoryAccount::kJobRequests, kMaxReadBytes);
   }
 
  private:
--- a/src/jobs/item_run.cc
+++ b/src/jobs/item_run.cc
@@ -60,7 +60,7 @@
   for (const auto& [name, value] : request_.headers) {
     const HeaderDialect& dialect = context_.dialect;
     if (same_header_name(name, dialect.prompt_prefix)) prompt_ = parse_prompt_prefix(value);
-    if (same_header_name(name, dialect.token_usage)) answer_tokens_ = parse_answer_tokens(value);
+    if (same_header_name(name, dialect.token_usage)) answer_tokens_ = parse_response_tokens(value);
   }
 }
 
@@ -91,9 +91,9 @@
 
 ItemSchedule ItemRun::schedule() const {
   ItemSchedule schedule{.objective = objective_, .age = age()};
-  schedule.remaining = context_.answer_pace.expected_rest(route_name_, answer_tokens_,
-                                                          EventCount{progress_.last_event});
-  const bool use_speed = runner_ && context_.load_policy.knows_speeds;
+  schedule.remaining = context_.response_durations.remaining_time(route_name_, answer_tokens_,
+                                                                  EventCount{progress_.last_event});
+  const bool use_speed = runner_ && context_.load_policy.uses_runner_speeds;
   if (use_speed) schedule.remaining = scale(schedule.remaining, runner_->speed().relative_time());
   return schedule;
 }
@@ -110,43 +110,43 @@
                        .zone = context_.zone,
                        .affinity_key = prompt_.shared_key,
                        .prompt_tokens = prompt_.tokens,
-                       .shared_tokens = prompt_.shared_tokens,
+                       .shared_prefix_tokens = prompt_.shared_prefix_tokens,
                        .load_limit = kBatchLoadLimit,
                        .excluded = runners_to_avoid(service),
-                       .connected = context_.connected(),
-                       .keep_connections = context_.load_policy.keeps_connections,
+                       .has_reusable_connection = context_.idle_connection_predicate(),
+                       .prefer_reusable_connections = context_.load_policy.reuses_connections,
                        .node = context_.node};
-  request.selection.speeds = context_.known_speeds();
+  request.selection.speeds = context_.enabled_speed_model();
   request.selection.work = WorkClass::kBatch;
-  request.selection.needs.route = stable_hash(route.name);
+  request.selection.latency_objectives.route = stable_hash(route.name);
   request.priority = route.priority;
   request.tenant = item_.tenant;
   request.route = route.name;
   request.slot_time = schedule.remaining;
   // Items with the earliest start deadline go first; items that will be late anyway go last.
   request.due = schedule.objective.count() > 0 ? now + schedule.slack() : TimePoint::max();
-  request.give_up = now + kPlacementTimeout;
+  request.queue_deadline = now + kPlacementTimeout;
   const QueueEntry entry = join_queue(request, schedule);
-  request.hopeless = [this] { return quarantine_check_.is_quarantined(); };
+  request.is_obsolete = [this] { return quarantine_check_.is_quarantined(); };
   ticket_ = context_.placement.make_ticket(std::move(request));
   const auto runner = co_await context_.placement.acquire(ticket_);
   if (entry.active) context_.batch_turns.end_wait(entry.service, entry.urgency);
   const Selection choice = ticket_->selection();
-  tokens_to_read_ = choice.tokens_to_read;
+  tokens_to_read_ = choice.uncached_prompt_tokens;
   runner_work_ = choice.runner_work();
   ticket_.reset();
   if (runner) log_selection(choice, schedule);
-  if (runner) context_.start_progress.reached(StartStep::kFirstItemPlaced, monotonic_now());
+  if (runner) context_.start_progress.mark_reached(StartupStep::kFirstItemPlaced, monotonic_now());
   co_return runner;
 }
 
 ItemRun::QueueEntry ItemRun::join_queue(PlacementRequest& request, const ItemSchedule& schedule) {
-  if (!context_.load_policy.deals_batch) return {};
-  BatchTurns& turns = context_.batch_turns;
+  if (!context_.load_policy.distributes_batch_runners) return {};
+  BatchArbiter& turns = context_.batch_turns;
   const QueueEntry entry{.active = true,
                          .service = stable_hash(request.selection.service),
                          .urgency = schedule.late() ? ItemUrgency::kLate : ItemUrgency::kInTime};
-  request.selection.turns = &turns;
+  request.selection.batch_arbiter = &turns;
   request.selection.urgency = entry.urgency;
   turns.begin_wait(entry.service, entry.urgency);
   return entry;
@@ -154,7 +154,8 @@
 
 /// Excludes runners on which the item has failed, as long as the service has other runners.
 std::vector<std::uint64_t> ItemRun::runners_to_avoid(const std::string& service) const {
-  const bool has_others = failed_runners_.size() < context_.runners.of_service(service).size();
+  const bool has_others =
+      failed_runners_.size() < context_.runners.runners_of_service(service).size();
   return has_others ? failed_runners_ : std::vector<std::uint64_t>{};
 }
 
@@ -191,8 +192,8 @@
   const TimePoint now = monotonic_now();
   std::uint32_t excused_failures = 0;
   for (const std::uint64_t runner_hash : failed_runners_) {
-    const Runner* runner = context_.runners.find_hash(runner_hash);
-    if (runner != nullptr && runner->suspect(now)) ++excused_failures;
+    const Runner* runner = context_.runners.find_by_hash(runner_hash);
+    if (runner != nullptr && runner->has_high_error_rate(now)) ++excused_failures;
   }
   return progress_.failures - excused_failures >= route.max_attempts;
 }
@@ -262,7 +263,7 @@
     const bool replaced = same_header_name(name, "Host") ||
                           same_header_name(name, dialect.request_id) ||
                           same_header_name(name, dialect.last_event_id);
-    if (!replaced && !is_kept_from_runners(dialect, name)) request.headers.push_back({name, value});
+    if (!replaced && !is_stripped_header(dialect, name)) request.headers.push_back({name, value});
   }
   if (!item_.tenant.empty()) request.headers.push_back({dialect.tenant, item_.tenant});
   request.headers.push_back({dialect.request_id, item_.item_id});
@@ -274,7 +275,7 @@
 }
 
 asio::awaitable<AttemptResult> ItemRun::attempt(std::shared_ptr<Runner> runner) {
-  const RunnerHold hold(runner, prompt_.tokens);
+  const RunnerMemoryReservation hold(runner, prompt_.tokens);
   const auto upstream = std::make_shared<UpstreamExchange>(context_.pool);
   upstream_ = upstream;
   upstream->set_deadline(monotonic_now() + kFirstEventTimeout);
@@ -287,7 +288,7 @@
       status == UpstreamStatus::kNotSent ? AttemptResult::kUnreachable : AttemptResult::kBroken;
   if (status == UpstreamStatus::kOk) status = co_await upstream->read_head();
   if (status == UpstreamStatus::kOk) {
-    stage_ = RunStage::kBegun;
+    stage_ = RunStage::kResponseStarted;
     result = co_await read_answer(*runner);
   }
   if (yielding_ && result != AttemptResult::kCompleted) result = AttemptResult::kYielded;
@@ -300,7 +301,7 @@
     upstream->cancel();
   }
   // An item that delivered events did not crash the runner on start; a retry resumes after them.
-  quarantine_check_.note_run(
+  quarantine_check_.record_run(
       {.runner = runner->hash(),
        .stage = stage_,
        .progressed = stage_ == RunStage::kDelivering,
@@ -316,7 +317,7 @@
   const bool failed_before = std::find(failed_runners_.begin(), failed_runners_.end(),
                                        runner.hash()) != failed_runners_.end();
   const bool repeated = result == AttemptResult::kFailed && failed_before;
-  return repeated ? AttemptOutcome::kAbandoned : evidence_of(result);
+  return repeated ? AttemptOutcome::kAbandoned : runner_outcome(result);
 }
 
 void ItemRun::record_attempt(Runner& runner, AttemptResult result) {
@@ -336,14 +337,14 @@
 
 asio::awaitable<AttemptResult> ItemRun::read_answer(Runner& runner) {
   const UpstreamHead& head = upstream_->head();
-  note_answer(context_, runner, head, tokens_to_read_);
+  record_response_head(context_, runner, head, tokens_to_read_);
   constexpr int kOk = 200;
   constexpr int kUnprocessable = 422;
   constexpr int kServerError = 500;
   if (was_not_run(runner, head, context_.dialect)) co_return AttemptResult::kNotRun;
   if (head.status == kUnprocessable) co_return AttemptResult::kImpossible;
   if (head.status == kServerError) co_return AttemptResult::kFailed;
-  const bool is_invalid = head.status != kOk || lacks_proof(head, context_.dialect);
+  const bool is_invalid = head.status != kOk || is_unverified(head, context_.dialect);
   if (is_invalid) co_return AttemptResult::kBroken;
   co_return co_await read_events();
 }
@@ -351,7 +352,7 @@
 void ItemRun::record_first_event() {
   if (stage_ == RunStage::kDelivering) return;
   stage_ = RunStage::kDelivering;
-  if (!context_.load_policy.knows_speeds) return;
+  if (!context_.load_policy.uses_runner_speeds) return;
   const TimePoint now = monotonic_now();
   context_.speeds.observe_first_event(stable_hash(route_name_), runner_->speed(), runner_work_,
                                       now - placed_at_, now);
@@ -361,8 +362,8 @@
   const TimePoint now = monotonic_now();
   const auto gap = window.advance(progress_.last_event, now);
   if (!gap) return;
-  context_.answer_pace.observe_gap(route_name_, *gap);
-  if (!context_.load_policy.knows_speeds) return;
+  context_.response_durations.observe_gap(route_name_, *gap);
+  if (!context_.load_policy.uses_runner_speeds) return;
   context_.speeds.observe_gap(stable_hash(route_name_), runner_->speed(), runner_->load(now), *gap,
                               now);
 }
@@ -375,7 +376,7 @@
     const UpstreamStatus status = co_await upstream_->read_body(view);
     if (status != UpstreamStatus::kOk) co_return AttemptResult::kBroken;
     if (view.empty()) break;
-    runner_->heard(monotonic_now());
+    runner_->record_receive(monotonic_now());
     upstream_->set_deadline(monotonic_now() + kEventGapTimeout);
     if (!framer.feed(view)) co_return AttemptResult::kBroken;
     while (const auto event = framer.next()) {
@@ -390,10 +391,10 @@
   }
   // The end of the connection does not prove completeness: it may cut the stream between events.
   const bool has_explicit_end = upstream_->head().framing != BodyFraming::kUntilClose;
-  const bool is_complete = framer.rest().empty() && progress_.last_event > 0;
+  const bool is_complete = framer.remainder().empty() && progress_.last_event > 0;
   if (!is_complete || !has_explicit_end) co_return AttemptResult::kBroken;
-  context_.answer_pace.observe_answer(route_name_, answer_tokens_,
-                                      EventCount{progress_.last_event});
+  context_.response_durations.observe_response(route_name_, answer_tokens_,
+                                               EventCount{progress_.last_event});
   co_return AttemptResult::kCompleted;
 }
 
--- a/src/jobs/job_data_log.cc
+++ b/src/jobs/job_data_log.cc
@@ -139,7 +139,7 @@
 
 asio::awaitable<RequestsRead> JobDataLog::read_requests(JobKey key, const JobSubmission& submission,
                                                         std::vector<std::uint32_t> wanted,
-                                                        ReadBounds bounds) {
+                                                        AdaptiveReadLimits bounds) {
   const RequestSpan span = first_span(submission, wanted, bounds.bytes);
   const auto& items = submission.items;
   const std::uint32_t first = span.items.front();
@@ -150,8 +150,8 @@
   const bool by_key = read.status == LogStatus::kTruncated;
   if (by_key) {
     const KeyRange range = request_key_range(key, submission, first, last);
-    const ReadTurns::Turn turn = co_await key_read_turns_.take();
-    read = co_await log_.read_newest(partition, range, bounds.patience);
+    const ReadSemaphore::Permit turn = co_await key_read_turns_.acquire();
+    read = co_await log_.read_newest(partition, range, bounds.page_timeout);
   }
   RequestsRead result;
   result.status = read.status;
@@ -173,7 +173,8 @@
 
 asio::awaitable<ResultsRead> JobDataLog::read_results(JobKey key, PartitionName partition,
                                                       RecordOffset next, KeyRange unread,
-                                                      ReadBounds bounds, NewestRead& newest) {
+                                                      AdaptiveReadLimits bounds,
+                                                      ResumableNewestRead& newest) {
   ResultsRead result;
   if (next > 0) {
     result.records = co_await log_.read(partition, next, bounds.bytes, Duration{0});
@@ -186,10 +187,10 @@
     count_results(records);
     if (result.records.status != LogStatus::kTruncated) co_return result;
   }
-  const ReadTurns::Turn turn = co_await key_read_turns_.take();
+  const ReadSemaphore::Permit turn = co_await key_read_turns_.acquire();
   // Pages kept from an earlier read reflect the end of the log at that time.
-  result.at_end = !newest.begun();
-  result.records = co_await newest.run(log_, partition, unread, bounds.patience);
+  result.at_end = !newest.has_partial_result();
+  result.records = co_await newest.run(log_, partition, unread, bounds.page_timeout);
   count_results(result.records.records);
   co_return result;
 }
@@ -204,7 +205,7 @@
 
 asio::awaitable<ReadResult> JobDataLog::read_texts(PartitionName partition,
                                                    std::vector<ListedResult::UnreadText> wanted,
-                                                   ReadBounds bounds) {
+                                                   AdaptiveReadLimits bounds) {
   std::uint64_t bytes = 0;
   KeyRange range{wanted.front().key, wanted.front().key};
   for (const auto& text : wanted) {
@@ -216,8 +217,8 @@
   ReadResult read = co_await log_.read(partition, wanted.front().offset, max_bytes, Duration{0});
   if (read.status == LogStatus::kTruncated) {
     range.after.pop_back();
-    const ReadTurns::Turn turn = co_await key_read_turns_.take();
-    read = co_await log_.read_newest(partition, range, bounds.patience);
+    const ReadSemaphore::Permit turn = co_await key_read_turns_.acquire();
+    read = co_await log_.read_newest(partition, range, bounds.page_timeout);
   }
   std::erase_if(read.records,
                 [](const StoredRecord& record) { return !is_text_record_key(record.key); });
@@ -232,8 +233,8 @@
     std::vector<KeyedRecord> deletions;
     const std::size_t last = std::min(keys.size(), first + kDeletionsPerAppend);
     for (std::size_t i = first; i < last; ++i) deletions.push_back({std::move(keys[i]), {}});
-    const AppendResult result =
-        co_await append_until(executor_, log_, partition, std::move(deletions), deadline, retries_);
+    const AppendResult result = co_await append_with_retry(
+        executor_, log_, partition, std::move(deletions), deadline, retries_);
     if (result.status != LogStatus::kOk) co_return result.status;
   }
   co_return LogStatus::kOk;
@@ -265,7 +266,7 @@
                                                       TimePoint deadline) {
   const PartitionName partition = partition_of(JobData::kResults, key, topics);
   const KeyRange range = job_key_range(key);
-  const ReadResult found = co_await log_.read_newest(partition, range, kPagePatience);
+  const ReadResult found = co_await log_.read_newest(partition, range, kPageTimeout);
   if (found.status != LogStatus::kOk) co_return found.status;
   std::vector<std::string> keys;
   for (const auto& record : found.records) {
--- a/src/jobs/job_data_log.h
+++ b/src/jobs/job_data_log.h
@@ -59,21 +59,22 @@
   /// @param wanted item indices, ascending, not empty.
   boost::asio::awaitable<RequestsRead> read_requests(JobKey key, const JobSubmission& submission,
                                                      std::vector<std::uint32_t> wanted,
-                                                     ReadBounds bounds);
+                                                     AdaptiveReadLimits bounds);
   /// Reads the results after those already known: the records appended since, or, if the log has
   /// truncated that part of its history, the listings in the key range `unread`.
   /// @param next offset to continue from; 0: read the listings by key.
   /// @param newest keeps the pages of an incomplete read by key; must outlive the call.
   boost::asio::awaitable<ResultsRead> read_results(JobKey key, PartitionName partition,
                                                    RecordOffset next, KeyRange unread,
-                                                   ReadBounds bounds, NewestRead& newest);
+                                                   AdaptiveReadLimits bounds,
+                                                   ResumableNewestRead& newest);
   /// Reads texts of results: as many as fit into one read by offset, or all of them by key if the
   /// log has truncated the first one. A failed read also returns the texts that it got. The result
   /// may contain texts that were not requested.
   /// @param wanted ascending by offset, not empty.
   boost::asio::awaitable<ReadResult> read_texts(PartitionName partition,
                                                 std::vector<ListedResult::UnreadText> wanted,
-                                                ReadBounds bounds);
+                                                AdaptiveReadLimits bounds);
   [[nodiscard]] const ResultBytes& result_bytes() const { return result_bytes_; }
   /// Deletes the progress of a job's items.
   boost::asio::awaitable<LogStatus> delete_progress(JobKey key, JobSubmission submission,
@@ -112,9 +113,9 @@
   boost::asio::any_io_executor executor_;
   RecordLog& log_;
   BackoffBounds retries_;
-  AppendSize append_size_;
+  AdaptiveAppendSize append_size_;
   ResultBytes result_bytes_;
-  ReadTurns key_read_turns_;  ///< Limits concurrent reads by key, whose pages have up to 1 MB.
+  ReadSemaphore key_read_turns_;  ///< Limits concurrent reads by key, whose pages have up to 1 MB.
 };
 
 }  // namespace stoathold
--- a/src/jobs/job_loader.cc
+++ b/src/jobs/job_loader.cc
@@ -72,7 +72,7 @@
     }
     log_retry(read, status);
     ++read.failures;
-    read.bounds.ask_for_less();
+    read.bounds.decrease();
     enqueue(std::move(read));
     timer.expires_after(backoff.next());
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
--- a/src/jobs/job_loader.h
+++ b/src/jobs/job_loader.h
@@ -56,7 +56,7 @@
     std::vector<std::uint32_t> unread_items;  ///< Items whose requests are still to be read.
     std::vector<std::uint32_t> missing;  ///< Items whose requests were not found; retried last.
     int failures = 0;                    ///< Consecutive failed reads.
-    ReadBounds bounds;                   ///< Bounds of the next read of progress or requests.
+    AdaptiveReadLimits bounds;           ///< Bounds of the next read of progress or requests.
   };
   /// Ordered by submission time plus a penalty for each failed read: a job that cannot be read lets
   /// others go first, but is not overtaken by new jobs indefinitely.
--- a/src/jobs/job_records.cc
+++ b/src/jobs/job_records.cc
@@ -123,7 +123,7 @@
 std::vector<KeyedRecord> result_records(const ItemResult& result, std::string_view writer,
                                         std::int64_t now_ms, bool split) {
   std::string key = result_record_key(result.job, result.item, writer);
-  if (!split || result.text.size() <= kMostWholeTextBytes)
+  if (!split || result.text.size() <= kMaxInlineTextBytes)
     return {{std::move(key), encode(result)}};
   const ResultListing listing{result.item, result.state, result.text.size(), now_ms};
   std::string text_key = text_record_key(key, now_ms);
--- a/src/jobs/job_records.h
+++ b/src/jobs/job_records.h
@@ -127,7 +127,7 @@
 
 /// Maximum length of a text that is stored inline in its result record. A listing and the key of a
 /// separate text record take about as many bytes.
-inline constexpr std::size_t kMostWholeTextBytes = 256;
+inline constexpr std::size_t kMaxInlineTextBytes = 256;
 
 /// A result whose text is stored in a separate record, directly before this one.
 struct ResultListing {
--- a/src/jobs/job_runner.cc
+++ b/src/jobs/job_runner.cc
@@ -54,7 +54,7 @@
           context.executor, log, settings_.member_name,
           SlotHandlers{
               [this](const std::set<std::uint32_t>&) {
-                context_.start_progress.reached(StartStep::kFirstSlotsHeld, monotonic_now());
+                context_.start_progress.mark_reached(StartupStep::kFirstSlotsHeld, monotonic_now());
                 store_.set_running_jobs(true);
                 store_.for_each_job(
                     [this](const JobKey& key, const JobEntry& job) { on_job_changed(key, job); });
@@ -65,8 +65,8 @@
               }}),
       stage_log_(context.executor, stages_,
                  [this](const JobKey& key, std::uint32_t index) { return item_id(key, index); }),
-      running_budget_(SharedRoom::size_for_one_job(kSlowStartInitialItems)),
-      waiting_budget_(SharedRoom::size_for_one_job(kMaxItemsPerJob)),
+      running_budget_(SharedBudget::size_for_one_job(kSlowStartInitialItems)),
+      waiting_budget_(SharedBudget::size_for_one_job(kMaxItemsPerJob)),
       request_byte_budget_(kMaxRequestBytes),
       held_requests_(*context.memory) {
   writer_.charge_to(*context.memory);
@@ -149,8 +149,9 @@
 
 void JobRunner::on_request_read(const JobKey& key, ActiveJob& job, std::uint32_t index,
                                 ItemRequest request) {
-  request_byte_budget_.take(job.budget_owner, static_cast<double>(job.items[index].request_bytes));
-  waiting_budget_.take(job.budget_owner, 1);
+  request_byte_budget_.acquire(job.budget_owner,
+                               static_cast<double>(job.items[index].request_bytes));
+  waiting_budget_.acquire(job.budget_owner, 1);
   held_requests_.add(job.items[index].request_bytes);
   job.requests[index] = std::move(request);
   enter_stage(key, job, index, ItemStage::kWaitingForTurn);
@@ -166,7 +167,7 @@
          static_cast<std::size_t>(fraction * (kMaxItemsPerJob - kSlowStartInitialItems));
 }
 
-bool JobRunner::yield_place(const YieldRequest& request) {
+bool JobRunner::yield_slot(const YieldRequest& request) {
   std::shared_ptr<ItemRun> chosen;
   YieldPriority best;
   for (const auto& [key, job] : jobs_) {
@@ -189,7 +190,7 @@
 
 /// Uses the first service of the job's route: it receives most of the traffic, and the other
 /// services of a route hardly differ from it.
-RoomHolder JobRunner::budget_owner_of(const JobKey& key, const ActiveJob& job) const {
+BudgetOwner JobRunner::budget_owner_of(const JobKey& key, const ActiveJob& job) const {
   const auto configuration = context_.configuration;
   const Route* route = configuration ? configuration->find_route(job.host, job.path) : nullptr;
   const bool has_service = route != nullptr && !route->services.empty();
@@ -200,21 +201,21 @@
 bool JobRunner::can_read_requests(const JobKey& key) const {
   const auto job = jobs_.find(key);
   if (job == jobs_.end()) return true;  // The loader drops a stopped job when it dequeues it.
-  const RoomHolder& budget_owner = job->second->budget_owner;
-  return waiting_budget_.may_take(budget_owner) && request_byte_budget_.may_take(budget_owner) &&
-         held_requests_.can_read_more();
+  const BudgetOwner& budget_owner = job->second->budget_owner;
+  return waiting_budget_.may_acquire(budget_owner) &&
+         request_byte_budget_.may_acquire(budget_owner) && held_requests_.can_read_more();
 }
 
 bool JobRunner::start_next_item() {
   const auto next = std::find_if(waiting_.begin(), waiting_.end(), [this](const auto& item) {
-    return running_budget_.may_take(jobs_.at(item.job)->budget_owner);
+    return running_budget_.may_acquire(jobs_.at(item.job)->budget_owner);
   });
   if (next == waiting_.end()) return false;
   const WaitingItem item = std::move(waiting_.extract(next).value());
   const auto job = jobs_.at(item.job);
   auto request = job->requests.extract(item.index);
-  waiting_budget_.give_back(job->budget_owner, 1);
-  running_budget_.take(job->budget_owner, 1);
+  waiting_budget_.release(job->budget_owner, 1);
+  running_budget_.acquire(job->budget_owner, 1);
   ++running_items_;
   asio::co_spawn(context_.executor, run_item(item, job, std::move(request.mapped())),
                  asio::detached);
@@ -222,7 +223,7 @@
 }
 
 void JobRunner::start_waiting_items() {
-  running_budget_.set_size(SharedRoom::size_for_one_job(static_cast<double>(item_limit())));
+  running_budget_.set_size(SharedBudget::size_for_one_job(static_cast<double>(item_limit())));
   while (start_next_item()) {
   }
   loader_.resume();
@@ -255,8 +256,8 @@
     }
   }
   --running_items_;
-  running_budget_.give_back(job->budget_owner, 1);
-  request_byte_budget_.give_back(job->budget_owner, static_cast<double>(job_item.request_bytes));
+  running_budget_.release(job->budget_owner, 1);
+  request_byte_budget_.release(job->budget_owner, static_cast<double>(job_item.request_bytes));
   held_requests_.remove(job_item.request_bytes);
   start_waiting_items();
 }
@@ -303,9 +304,9 @@
   stages_.remove_job(key);
   std::erase_if(waiting_, [&](const WaitingItem& item) { return item.job == key; });
   for (const auto& [index, request] : job->requests) {
-    waiting_budget_.give_back(job->budget_owner, 1);
-    request_byte_budget_.give_back(job->budget_owner,
-                                   static_cast<double>(job->items[index].request_bytes));
+    waiting_budget_.release(job->budget_owner, 1);
+    request_byte_budget_.release(job->budget_owner,
+                                 static_cast<double>(job->items[index].request_bytes));
     held_requests_.remove(job->items[index].request_bytes);
   }
   job->requests.clear();
--- a/src/jobs/job_runner.h
+++ b/src/jobs/job_runner.h
@@ -51,7 +51,7 @@
   /// Preempts one batch item on a runner that matches the request, to free its slot. Prefers an
   /// item that will miss its objective anyway, then the one with the most slack.
   /// @return false if no running item matches.
-  bool yield_place(const YieldRequest& request);
+  bool yield_slot(const YieldRequest& request);
 
   [[nodiscard]] std::size_t running_items() const { return running_items_; }
   [[nodiscard]] std::size_t unwritten_results() const { return writer_.pending(); }
@@ -69,7 +69,7 @@
     std::vector<JobItem> items;
     std::map<std::uint32_t, ItemRequest> requests;  ///< Requests of waiting items, by item.
     std::map<std::uint32_t, std::shared_ptr<ItemRun>> runs;
-    RoomHolder budget_owner;  ///< Account charged for its items; set before any request is read.
+    BudgetOwner budget_owner;  ///< Account charged for its items; set before any request is read.
     std::uint64_t finished_tokens = 0;
     std::set<std::uint32_t> unfinished_items;  ///< Items without a durable result.
     bool stopped = false;
@@ -97,7 +97,7 @@
   void start_waiting_items();
   /// Returns whether the limits allow reading more requests of the job.
   [[nodiscard]] bool can_read_requests(const JobKey& key) const;
-  [[nodiscard]] RoomHolder budget_owner_of(const JobKey& key, const ActiveJob& job) const;
+  [[nodiscard]] BudgetOwner budget_owner_of(const JobKey& key, const ActiveJob& job) const;
   /// Starts the first waiting item that the concurrency limits admit.
   /// @return false if there is none.
   bool start_next_item();
@@ -133,10 +133,10 @@
   TimePoint started_{};
   MembersListener members_listener_;
   std::size_t running_items_ = 0;
-  SharedRoom running_budget_;       ///< Limits items that run or wait for a runner's slot.
-  SharedRoom waiting_budget_;       ///< Limits items that wait to be started.
-  SharedRoom request_byte_budget_;  ///< Limits request bytes of waiting and running items.
-  HeldRequests held_requests_;      ///< Charges those bytes to the process memory budget.
+  SharedBudget running_budget_;       ///< Limits items that run or wait for a runner's slot.
+  SharedBudget waiting_budget_;       ///< Limits items that wait to be started.
+  SharedBudget request_byte_budget_;  ///< Limits request bytes of waiting and running items.
+  HeldRequests held_requests_;        ///< Charges those bytes to the process memory budget.
   bool stopping_ = false;
 };
 
--- a/src/jobs/job_store.cc
+++ b/src/jobs/job_store.cc
@@ -247,18 +247,18 @@
   const auto replica = partition.replica;
   const std::vector<KeyedRecord> records{{jobs_record_key(kind, key), std::move(value)}};
   const TimePoint deadline = monotonic_now() + timing_.operation_timeout;
-  const AppendResult result =
-      co_await append_until(executor_, log_, replica->name(), records, deadline, timing_.retries);
+  const AppendResult result = co_await append_with_retry(executor_, log_, replica->name(), records,
+                                                         deadline, timing_.retries);
   if (result.status == LogStatus::kOk) replica->apply_appended(result.offset, records);
   co_return result.status;
 }
 
-asio::awaitable<LogStatus> JobStore::end(std::string host, JobKey key) {
+asio::awaitable<LogStatus> JobStore::cancel(std::string host, JobKey key) {
   co_return co_await mark(host, JobRecordKind::kCancelled, key, "1");
 }
 
 asio::awaitable<RequestsRead> JobStore::read_requests(JobKey key, std::vector<std::uint32_t> wanted,
-                                                      ReadBounds bounds) {
+                                                      AdaptiveReadLimits bounds) {
   RequestsRead nothing;
   const JobEntry* entry = find_entry(key);
   if (entry == nullptr) co_return nothing;
@@ -268,7 +268,7 @@
 
 asio::awaitable<LookupStatus> JobStore::read_request(JobKey key, std::uint32_t index,
                                                      ItemRequest& request) {
-  const ReadBounds bounds;
+  const AdaptiveReadLimits bounds;
   const std::vector<std::uint32_t> wanted{index};
   RequestsRead read = co_await read_requests(key, wanted, bounds);
   if (read.status != LogStatus::kOk) co_return LookupStatus::kUncertain;
@@ -277,10 +277,10 @@
   co_return LookupStatus::kFound;
 }
 
-asio::awaitable<LogStatus> JobStore::refresh_progress(JobKey key, ReadBounds bounds) {
+asio::awaitable<LogStatus> JobStore::refresh_progress(JobKey key, AdaptiveReadLimits bounds) {
   const PartitionName partition = partition_of(JobData::kProgress, key);
   const KeyRange range = progress_key_range(key);
-  const ReadResult read = co_await log_.read_newest(partition, range, bounds.patience);
+  const ReadResult read = co_await log_.read_newest(partition, range, bounds.page_timeout);
   if (read.status == LogStatus::kOk) add_progress(read.records, progress_[key]);
   co_return read.status;
 }
@@ -320,8 +320,8 @@
                           JobRecordKind::kProgress, JobRecordKind::kSubmitted}) {
     marks.push_back({jobs_record_key(kind, key), {}});
   }
-  co_await append_until(executor_, log_, replica->name(), std::move(marks), deadline,
-                        timing_.retries);
+  co_await append_with_retry(executor_, log_, replica->name(), std::move(marks), deadline,
+                             timing_.retries);
 }
 
 }  // namespace stoathold
--- a/src/jobs/job_store.h
+++ b/src/jobs/job_store.h
@@ -67,7 +67,7 @@
 
 /// Maximum time that a caller waits for a read of results. The read continues after that, and the
 /// caller can poll again.
-inline constexpr Duration kCallerPatience = std::chrono::seconds(1);
+inline constexpr Duration kCallerReadTimeout = std::chrono::seconds(1);
 
 /// One node's access to all jobs. Not thread-safe; must outlive the calls in flight.
 class JobStore {
@@ -101,21 +101,21 @@
   boost::asio::awaitable<ResultPage> read_results(std::string host, JobKey key,
                                                   std::uint64_t position, Duration wait);
   /// Cancels a job; the cancellation is durable once this returns `kOk`.
-  boost::asio::awaitable<LogStatus> end(std::string host, JobKey key);
+  boost::asio::awaitable<LogStatus> cancel(std::string host, JobKey key);
   /// Reads the request of an item.
   boost::asio::awaitable<LookupStatus> read_request(JobKey key, std::uint32_t index,
                                                     ItemRequest& request);
   /// Reads the requests of as many of the leading items of `wanted` as fit into one read.
   /// @param wanted item indices, ascending, not empty.
   boost::asio::awaitable<RequestsRead> read_requests(JobKey key, std::vector<std::uint32_t> wanted,
-                                                     ReadBounds bounds);
+                                                     AdaptiveReadLimits bounds);
 
   /// Updates the list of a job's results from the log, without separately stored texts. Concurrent
   /// calls share one read, which continues after its waiters have given up.
   boost::asio::awaitable<LogStatus> refresh_results(JobKey key,
                                                     TimePoint deadline = TimePoint::max());
   /// Updates the progress of a job's items from the log.
-  boost::asio::awaitable<LogStatus> refresh_progress(JobKey key, ReadBounds bounds);
+  boost::asio::awaitable<LogStatus> refresh_progress(JobKey key, AdaptiveReadLimits bounds);
   /// Returns the records of a result, to be written with one append. Each call uses new keys.
   std::vector<KeyedRecord> records_of(const ItemResult& result);
   /// Returns the bytes of results read by this node.
@@ -151,11 +151,11 @@
  private:
   /// State of the reads of one job's results, shared by concurrent callers.
   struct ResultReads {
-    SharedRead refresh;
-    NewestRead newest;
-    ReadBounds bounds;  ///< Bounds of the next read of listings.
-    SharedRead texts;
-    ReadBounds text_bounds;
+    CoalescedRead refresh;
+    ResumableNewestRead newest;
+    AdaptiveReadLimits bounds;  ///< Bounds of the next read of listings.
+    CoalescedRead texts;
+    AdaptiveReadLimits text_bounds;
     /// Lowest position that a caller waits for and no read covers yet.
     std::uint64_t first_needed_text = std::numeric_limits<std::uint64_t>::max();
   };
--- a/src/jobs/job_store_memory.cc
+++ b/src/jobs/job_store_memory.cc
@@ -5,7 +5,7 @@
 
 void JobStore::charge_to(MemoryBudget& budget) {
   budget_ = &budget;
-  result_memory_ = budget.charge(MemoryAccount::kListedResults, 0);
+  result_memory_ = budget.charge(MemoryAccount::kCachedResults, 0);
   update_result_memory();
 }
 
@@ -21,7 +21,7 @@
   if (budget_ == nullptr) return;
   update_result_memory();
   for (auto entry = results_.begin(); entry != results_.end();) {
-    if (budget_->has_room(MemoryAccount::kListedResults, 0)) return;
+    if (budget_->fits(MemoryAccount::kCachedResults, 0)) return;
     const JobEntry* job = find_entry(entry->first);
     const auto reads = result_reads_.find(entry->first);
     const bool in_use = reads != result_reads_.end() && reads->second.use_count() > 1;
--- a/src/jobs/job_store_results.cc
+++ b/src/jobs/job_store_results.cc
@@ -34,12 +34,12 @@
   if (page.status != LookupStatus::kFound) co_return page;
   const bool is_past_end = position >= page.job->submission.items.size();
   const auto is_read = [&] { return results_[key].listed().size() > position; };
-  TimePoint deadline = monotonic_now() + kCallerPatience;
+  TimePoint deadline = monotonic_now() + kCallerReadTimeout;
   if (!is_past_end && !is_read()) {
     LogStatus status = co_await refresh_to_position(key, position, deadline);
     if (status == LogStatus::kOk && wait.count() > 0 && !is_read()) {
       co_await sleep_for(std::min(wait, kResultWait));
-      deadline = monotonic_now() + kCallerPatience;
+      deadline = monotonic_now() + kCallerReadTimeout;
       status = co_await refresh_to_position(key, position, deadline);
     }
     if (status != LogStatus::kOk) page.status = LookupStatus::kUncertain;
@@ -73,7 +73,7 @@
                                                      ResultReadMode mode) {
   const std::shared_ptr<ResultReads> reads = result_reads_for(key);
   // Callers with different modes may share a read: both modes update the list.
-  const SharedRead::Read read = [this, key, reads, mode] {
+  const CoalescedRead::Read read = [this, key, reads, mode] {
     return read_new_results(key, reads, mode);
   };
   co_return co_await reads->refresh.run(read, deadline);
@@ -89,7 +89,7 @@
     ResultsRead read =
         co_await data_.read_results(key, partition, next, unread, reads->bounds, reads->newest);
     const LogStatus status = read.records.status;
-    if (status == LogStatus::kUnknown) reads->bounds.ask_for_less();
+    if (status == LogStatus::kUnknown) reads->bounds.decrease();
     if (status != LogStatus::kOk) co_return status;
     results_[key].add(std::move(read.records));
     update_result_memory();
@@ -101,7 +101,7 @@
 
 asio::awaitable<void> JobStore::load_texts(JobKey key, std::uint64_t position, TimePoint deadline) {
   const std::shared_ptr<ResultReads> reads = result_reads_for(key);
-  const SharedRead::Read read = [this, key, reads] { return read_texts(key, reads); };
+  const CoalescedRead::Read read = [this, key, reads] { return read_texts(key, reads); };
   while (!results_[key].unread_texts(position, kResultPageBytes).empty()) {
     reads->first_needed_text = std::min(reads->first_needed_text, position);
     const LogStatus status = co_await reads->texts.run(read, deadline);
@@ -119,8 +119,8 @@
   const PartitionName partition = partition_of(JobData::kResults, key);
   ReadResult read = co_await data_.read_texts(partition, std::move(wanted), reads->text_bounds);
   const LogStatus status = read.status;
-  if (status == LogStatus::kOk) reads->text_bounds.ask_for_more();
-  if (status == LogStatus::kUnknown) reads->text_bounds.ask_for_less();
+  if (status == LogStatus::kOk) reads->text_bounds.increase();
+  if (status == LogStatus::kUnknown) reads->text_bounds.decrease();
   results_[key].add_texts(std::move(read.records));
   update_result_memory();
   if (status != LogStatus::kOk) co_return status;
--- a/src/jobs/job_table.cc
+++ b/src/jobs/job_table.cc
@@ -45,7 +45,7 @@
   std::uint64_t tokens = 0;
   switch (kind) {
     case JobRecordKind::kCancelled:
-      job.ended = true;
+      job.cancelled = true;
       notify(key, job);
       break;
     case JobRecordKind::kFinished:
