--- a/src/jobs/job_table.h
+++ b/src/jobs/job_table.h
@@ -13,11 +13,11 @@
 /// State of one job as recorded in the log.
 struct JobEntry {
   JobSubmission submission;
-  bool ended = false;                 ///< Cancelled by its submitter; no more items are run.
+  bool cancelled = false;             ///< Cancelled by its submitter; no more items are run.
   bool finished = false;              ///< Each of its items has a listed result.
   std::uint64_t finished_tokens = 0;  ///< Of its listed items, as last reported; may lag.
 
-  [[nodiscard]] bool open() const { return !ended && !finished; }
+  [[nodiscard]] bool open() const { return !cancelled && !finished; }
 };
 
 /// Applies records in offset order. Nodes that have applied the same records have the same state.
--- a/src/jobs/result_writer.h
+++ b/src/jobs/result_writer.h
@@ -49,7 +49,7 @@
   std::map<PartitionName, Queue> queues_;         ///< Of partitions that wait or are being written.
   std::deque<PartitionName> waiting_partitions_;  ///< In order of arrival.
   int writers_ = 0;
-  AppendSize append_size_;
+  AdaptiveAppendSize append_size_;
   std::size_t pending_ = 0;
   std::uint64_t pending_bytes_ = 0;
   MemoryReservation memory_;  ///< Charges `pending_bytes_`.
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -121,14 +121,14 @@
 
   /// Sets the memory and connection limits. Call before `start`. A server with a memory limit must
   /// run on a single thread.
-  void set_bounds(ServerBounds resource_limits);
+  void set_resource_limits(ServerResourceLimits resource_limits);
   void start();
   /// Sets the limits of requests whose reading has not begun.
   void set_limits(const HttpLimits& limits);
   /// Makes every further response close its connection. New connections are still served.
   void start_drain();
   /// Closes the connections on which no request is being read or handled.
-  void close_idle();
+  void close_idle_connections();
   /// Closes the listening socket; open connections complete their current request.
   void stop();
   /// Returns the bound address with the actual port.
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -59,19 +59,19 @@
 
 }  // namespace
 
-std::string_view to_string(ShortageAct act) {
+std::string_view to_string(OverloadAction act) {
   switch (act) {
-    case ShortageAct::kBodyRefused:
+    case OverloadAction::kBodyRefused:
       return "body_refused";
-    case ShortageAct::kBodyCutOff:
+    case OverloadAction::kBodyAborted:
       return "body_cut_off";
-    case ShortageAct::kAnswerCutOff:
+    case OverloadAction::kResponseAborted:
       return "answer_cut_off";
-    case ShortageAct::kIdleClosed:
+    case OverloadAction::kIdleClosed:
       return "idle_closed";
-    case ShortageAct::kConnectionRefused:
+    case OverloadAction::kConnectionRefused:
       return "connection_refused";
-    case ShortageAct::kConnectionClosed:
+    case OverloadAction::kConnectionClosed:
       break;
   }
   return "connection_closed";
@@ -134,11 +134,11 @@
   /// connection for it, or else reclaims the buffer of a stalled client.
   Admission admit_connection(ClientAddress client) {
     const std::scoped_lock lock(mutex);
-    const bool below_connection_limit = resource_limits.most_connections == 0 ||
-                                        open_connections < resource_limits.most_connections;
+    const bool below_connection_limit = resource_limits.max_client_connections == 0 ||
+                                        open_connections < resource_limits.max_client_connections;
     const bool memory_available =
         !resource_limits.limited() ||
-        resource_limits.budget->has_room(MemoryAccount::kConnections, kConnectionOverheadBytes);
+        resource_limits.budget->fits(MemoryAccount::kConnections, kConnectionOverheadBytes);
     const bool admitted = (below_connection_limit && memory_available) ||
                           evict_idle_connection(client) ||
                           buffer_registry.reclaim_slowest(monotonic_now());
@@ -150,10 +150,10 @@
     if (resource_limits.limited())
       resource_limits.budget->count_refusal(MemoryAccount::kConnections);
     const bool rejected = open_rejections < kMaxConcurrentRejections;
-    resource_limits.report(
-        {.act = rejected ? ShortageAct::kConnectionRefused : ShortageAct::kConnectionClosed,
-         .status = rejected ? kUnavailableStatus : 0,
-         .bytes = kConnectionOverheadBytes});
+    resource_limits.report({.action = rejected ? OverloadAction::kConnectionRefused
+                                               : OverloadAction::kConnectionClosed,
+                            .status = rejected ? kUnavailableStatus : 0,
+                            .bytes = kConnectionOverheadBytes});
     if (rejected) ++open_rejections;
     return rejected ? Admission::kRefused : Admission::kClosed;
   }
@@ -249,7 +249,7 @@
     idle.erase(sequence);
   }
   /// Closes a connection on its own strand if it is still idle then. Requires `mutex`.
-  void close_idle(std::uint64_t sequence, const IdleConnection& connection) {
+  void close_idle_connections(std::uint64_t sequence, const IdleConnection& connection) {
     connections.mark_busy(connection.client, sequence);
     asio::post(connection.stream->get_executor(), [self = shared_from_this(), sequence] {
       const std::scoped_lock lock(self->mutex);
@@ -260,7 +260,7 @@
   void close_all_idle() {
     const std::scoped_lock lock(mutex);
     for (const auto& [sequence, connection] : idle) {
-      if (!connection.head_started) close_idle(sequence, connection);
+      if (!connection.head_started) close_idle_connections(sequence, connection);
     }
   }
   /// Closes an idle connection in favour of a new client. Requires `mutex`.
@@ -269,10 +269,10 @@
     const TimePoint now = monotonic_now();
     const auto candidate = connections.select_eviction_candidate(new_client, now);
     if (!candidate) return false;
-    close_idle(candidate->sequence, idle.at(candidate->sequence));
+    close_idle_connections(candidate->sequence, idle.at(candidate->sequence));
     const Duration idle_time = now - candidate->idle_since;
     resource_limits.report(
-        {.act = ShortageAct::kIdleClosed, .age = idle_time, .stalled = idle_time});
+        {.action = OverloadAction::kIdleClosed, .held_for = idle_time, .stalled = idle_time});
     return true;
   }
 
@@ -283,7 +283,7 @@
   HttpHandler handler;
   std::atomic<bool> stopped{false};
   std::atomic<bool> draining{false};
-  ServerBounds resource_limits;               ///< Set before `start`.
+  ServerResourceLimits resource_limits;       ///< Set before `start`.
   ReclaimableBufferRegistry buffer_registry;  ///< Empty without a memory limit.
   ExchangeContext exchange_context{draining, resource_limits, buffer_registry};
   /// Guards `limits` and the members below. No other mutex is locked while it is held.
@@ -316,7 +316,7 @@
   stop();
 }
 
-void HttpServer::set_bounds(ServerBounds resource_limits) {
+void HttpServer::set_resource_limits(ServerResourceLimits resource_limits) {
   state_->resource_limits = std::move(resource_limits);
   if (!state_->resource_limits.limited()) return;
   state_->resource_limits.budget->set_reclaimer([weak = std::weak_ptr<State>(state_)] {
@@ -338,7 +338,7 @@
   state_->draining = true;
 }
 
-void HttpServer::close_idle() {
+void HttpServer::close_idle_connections() {
   state_->close_all_idle();
 }
 
--- a/src/net/request_reader.cc
+++ b/src/net/request_reader.cc
@@ -90,10 +90,10 @@
 
 void RequestBodyBuffer::reclaim() {
   const TimePoint now = monotonic_now();
-  resource_limits_.report({.act = ShortageAct::kBodyCutOff,
+  resource_limits_.report({.action = OverloadAction::kBodyAborted,
                            .status = kUnavailable,
                            .bytes = reserved_bytes(),
-                           .age = now - registered_at_,
+                           .held_for = now - registered_at_,
                            .stalled = now - last_progress_});
   buffer_registry_.remove(*this);
   reclaimed_ = true;
@@ -102,7 +102,7 @@
 }
 
 RequestReader::RequestReader(beast::tcp_stream& stream, beast::flat_buffer& buffer,
-                             const HttpLimits& limits, const ServerBounds& resource_limits,
+                             const HttpLimits& limits, const ServerResourceLimits& resource_limits,
                              ReclaimableBufferRegistry& buffer_registry)
     : stream_(stream),
       buffer_(buffer),
@@ -152,7 +152,7 @@
   const std::uint64_t preferred = kBodyCopies * (2 * body.size() + kReadChunkBytes);
   const std::uint64_t preferred_growth = preferred - reservation.bytes();
   const bool preferred_fits =
-      resource_limits_.budget->has_room(MemoryAccount::kRequestBodies, preferred_growth);
+      resource_limits_.budget->fits(MemoryAccount::kRequestBodies, preferred_growth);
   const std::uint64_t target = preferred_fits ? preferred : required;
   if (!reservation.grow(target - reservation.bytes())) return reject_for_memory(required);
   body.reserve(target / kBodyCopies);
@@ -168,7 +168,7 @@
   result.status = can_fit ? kUnavailable : kTooLarge;
   result.reason = can_fit ? kOutOfMemory : kBodyTooLarge;
   resource_limits_.report(
-      {.act = ShortageAct::kBodyRefused, .status = result.status, .bytes = bytes});
+      {.action = OverloadAction::kBodyRefused, .status = result.status, .bytes = bytes});
   return result;
 }
 
--- a/src/net/request_reader.h
+++ b/src/net/request_reader.h
@@ -25,7 +25,7 @@
 /// its memory.
 class RequestBodyBuffer final : public ReclaimableBuffer {
  public:
-  RequestBodyBuffer(boost::beast::tcp_stream& stream, const ServerBounds& resource_limits,
+  RequestBodyBuffer(boost::beast::tcp_stream& stream, const ServerResourceLimits& resource_limits,
                     ReclaimableBufferRegistry& buffer_registry)
       : stream_(stream), resource_limits_(resource_limits), buffer_registry_(buffer_registry) {}
   ~RequestBodyBuffer() override { buffer_registry_.remove(*this); }
@@ -46,7 +46,7 @@
 
  private:
   boost::beast::tcp_stream& stream_;
-  const ServerBounds& resource_limits_;
+  const ServerResourceLimits& resource_limits_;
   ReclaimableBufferRegistry& buffer_registry_;
   MemoryReservation reservation_;
   TimePoint registered_at_{};
@@ -63,7 +63,7 @@
 
   /// All arguments must outlive the reader.
   RequestReader(boost::beast::tcp_stream& stream, boost::beast::flat_buffer& buffer,
-                const HttpLimits& limits, const ServerBounds& resource_limits,
+                const HttpLimits& limits, const ServerResourceLimits& resource_limits,
                 ReclaimableBufferRegistry& buffer_registry);
 
   /// Reads the head and reserves memory for the body. @return `complete` if the body may be read.
@@ -91,7 +91,7 @@
   boost::beast::tcp_stream& stream_;
   boost::beast::flat_buffer& buffer_;
   const HttpLimits& limits_;
-  const ServerBounds& resource_limits_;
+  const ServerResourceLimits& resource_limits_;
   boost::beast::http::request_parser<boost::beast::http::string_body> parser_;
   RequestBodyBuffer body_buffer_;
 };
--- a/src/net/response_write_buffer.cc
+++ b/src/net/response_write_buffer.cc
@@ -9,7 +9,8 @@
 namespace asio = boost::asio;
 using Tcp = asio::ip::tcp;
 
-ResponseWriteBuffer::ResponseWriteBuffer(Tcp::socket& socket, const ServerBounds& resource_limits,
+ResponseWriteBuffer::ResponseWriteBuffer(Tcp::socket& socket,
+                                         const ServerResourceLimits& resource_limits,
                                          ReclaimableBufferRegistry& buffer_registry,
                                          std::function<void()> on_reclaimed)
     : socket_(&socket),
@@ -19,7 +20,7 @@
       pending_since_(monotonic_now()),
       last_progress_(pending_since_) {
   if (!resource_limits.limited()) return;
-  reservation_ = resource_limits.budget->charge(MemoryAccount::kAnswers, 0);
+  reservation_ = resource_limits.budget->charge(MemoryAccount::kResponses, 0);
   buffer_registry_.add(*this);
 }
 
@@ -113,9 +114,9 @@
 void ResponseWriteBuffer::reclaim() {
   if (failed_) return;
   const TimePoint now = monotonic_now();
-  resource_limits_.report({.act = ShortageAct::kAnswerCutOff,
+  resource_limits_.report({.action = OverloadAction::kResponseAborted,
                            .bytes = reserved_bytes(),
-                           .age = now - pending_since_,
+                           .held_for = now - pending_since_,
                            .stalled = now - last_progress_});
   // Resets the connection: the kernel frees its send buffer as well, and the client cannot take the
   // truncated response for a complete one.
--- a/src/net/response_write_buffer.h
+++ b/src/net/response_write_buffer.h
@@ -25,7 +25,8 @@
   /// @param socket must be non-blocking; must stay valid until `detach`.
   /// @param resource_limits, buffer_registry outlive the buffer.
   /// @param on_reclaimed called after the connection was reset to free memory.
-  ResponseWriteBuffer(boost::asio::ip::tcp::socket& socket, const ServerBounds& resource_limits,
+  ResponseWriteBuffer(boost::asio::ip::tcp::socket& socket,
+                      const ServerResourceLimits& resource_limits,
                       ReclaimableBufferRegistry& buffer_registry,
                       std::function<void()> on_reclaimed);
   ~ResponseWriteBuffer() override;
@@ -55,7 +56,7 @@
   void on_written(std::size_t count);
 
   boost::asio::ip::tcp::socket* socket_;
-  const ServerBounds& resource_limits_;
+  const ServerResourceLimits& resource_limits_;
   ReclaimableBufferRegistry& buffer_registry_;
   std::function<void()> on_reclaimed_;
   MemoryReservation reservation_;
--- a/src/net/server_exchange.cc
+++ b/src/net/server_exchange.cc
@@ -223,9 +223,10 @@
 /// Returns how many bytes may be buffered ahead: none without a memory limit, and none beyond the
 /// bytes already received while memory is short.
 std::size_t ServerExchange::read_ahead_bytes() const {
-  const ServerBounds& resource_limits = context_.resource_limits;
+  const ServerResourceLimits& resource_limits = context_.resource_limits;
   if (!resource_limits.limited()) return 0;
-  return resource_limits.budget->make_room(MemoryAccount::kAnswers, kReadAheadReserveBytes)
+  return resource_limits.budget->reclaim_until_fits(MemoryAccount::kResponses,
+                                                    kReadAheadReserveBytes)
              ? kReadAheadBytes
              : 0;
 }
--- a/src/net/server_exchange.h
+++ b/src/net/server_exchange.h
@@ -48,7 +48,7 @@
 /// State shared by all exchanges of a server; outlives them.
 struct ExchangeContext {
   const std::atomic<bool>& draining;
-  const ServerBounds& resource_limits;
+  const ServerResourceLimits& resource_limits;
   ReclaimableBufferRegistry& buffer_registry;
 };
 
--- a/src/net/server_resource_limits.h
+++ b/src/net/server_resource_limits.h
@@ -17,37 +17,37 @@
 inline constexpr std::uint64_t kConnectionOverheadBytes = 16UL * 1024;
 
 /// Action of a server at its memory or connection limit.
-enum class ShortageAct : std::uint8_t {
+enum class OverloadAction : std::uint8_t {
   kBodyRefused,        ///< A request was rejected before its body was read.
-  kBodyCutOff,         ///< A body that arrived too slowly was aborted to free memory.
-  kAnswerCutOff,       ///< A response that the client did not read was aborted to free memory.
+  kBodyAborted,        ///< A body that arrived too slowly was aborted to free memory.
+  kResponseAborted,    ///< A response that the client did not read was aborted to free memory.
   kIdleClosed,         ///< The longest idle connection was closed in favour of a new one.
   kConnectionRefused,  ///< A new connection was answered with 503.
   kConnectionClosed,   ///< A new connection was closed without reading.
 };
 
 /// Returns the name for logs and metrics.
-std::string_view to_string(ShortageAct act);
+std::string_view to_string(OverloadAction act);
 
 /// Report of one such action.
-struct Shortage {
-  ShortageAct act = ShortageAct::kBodyRefused;
+struct OverloadEvent {
+  OverloadAction action = OverloadAction::kBodyRefused;
   int status = 0;           ///< Status sent to the client; 0: none.
   std::uint64_t bytes = 0;  ///< Bytes requested, or held until the action.
-  Duration age{0};          ///< How long the bytes were held.
+  Duration held_for{0};     ///< How long the bytes were held.
   Duration stalled{0};      ///< How long the client had made no progress.
 };
 
 /// Memory and connection limits of a server. A server with a memory budget must run on a single
 /// thread.
-struct ServerBounds {
-  MemoryBudget* budget = nullptr;    ///< Outlives the server; null or unlimited: no limit.
-  std::size_t most_connections = 0;  ///< 0: no limit.
-  std::function<void(const Shortage&)> listener;  ///< Must not call the server.
+struct ServerResourceLimits {
+  MemoryBudget* budget = nullptr;          ///< Outlives the server; null or unlimited: no limit.
+  std::size_t max_client_connections = 0;  ///< 0: no limit.
+  std::function<void(const OverloadEvent&)> on_overload;  ///< Must not call the server.
 
   [[nodiscard]] bool limited() const { return budget != nullptr && budget->limited(); }
-  void report(const Shortage& shortage) const {
-    if (listener) listener(shortage);
+  void report(const OverloadEvent& shortage) const {
+    if (on_overload) on_overload(shortage);
   }
 };
 
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-bool Quarantine::holds(ContentHash content, TimePoint now) const {
+bool Quarantine::contains(ContentHash content, TimePoint now) const {
   const auto found = quarantined_.find(content);
   return found != quarantined_.end() && now < found->second.until;
 }
@@ -38,11 +38,11 @@
                                      : std::max(Duration{0}, found->second.until - now);
 }
 
-void Quarantine::note_end(const RunnerExit& exit) {
+void Quarantine::record_runner_exit(const RunnerExit& exit) {
   if (!exit_table_.add(exit)) return;
   if (observed_locally_.size() >= kMaxObservedLocally) observed_locally_.clear();
   observed_locally_.insert(exit.content);
-  const bool begun = exit.stage == RunStage::kBegun;
+  const bool begun = exit.stage == RunStage::kResponseStarted;
   log_event(Event::kRunnerEndedWithRequest,
             {{"content", to_hex(value_of(exit.content))},
              {"runner_hash", to_hex(exit.runner)},
@@ -73,11 +73,11 @@
   if (report_listener_) report_listener_();
 }
 
-std::vector<RunnerExitReport> Quarantine::take_zone_reports(TimePoint now) {
+std::vector<RunnerExitReport> Quarantine::next_zone_reports(TimePoint now) {
   return take_due(zone_reports_, now);
 }
 
-std::vector<RunnerExitReport> Quarantine::take_remote_reports(TimePoint now) {
+std::vector<RunnerExitReport> Quarantine::next_remote_reports(TimePoint now) {
   return take_due(remote_reports_, now);
 }
 
@@ -86,7 +86,7 @@
   std::vector<RunnerExitReport> reports;
   for (auto& entry : pending) {
     if (reports.size() >= kMaxReportsInMessage) break;
-    entry.report.ms_ago = saturated_milliseconds(now - entry.at);
+    entry.report.ms_ago = saturating_milliseconds(now - entry.at);
     reports.push_back(entry.report);
     --entry.repeats_left;
   }
@@ -94,7 +94,7 @@
   return reports;
 }
 
-void Quarantine::take_reports(const std::vector<RunnerExitReport>& reports, TimePoint now) {
+void Quarantine::apply_reports(const std::vector<RunnerExitReport>& reports, TimePoint now) {
   for (const auto& report : reports) {
     const ContentHash content{report.content};
     const TimePoint at = now - std::chrono::milliseconds(report.ms_ago);
@@ -102,7 +102,7 @@
       exit_table_.clear(content, at);
       continue;
     }
-    const RunStage stage = report.begun ? RunStage::kBegun : RunStage::kWaiting;
+    const RunStage stage = report.begun ? RunStage::kResponseStarted : RunStage::kWaiting;
     if (exit_table_.add({content, report.runner, stage, at})) {
       evaluate(content, now);
     }
@@ -110,7 +110,7 @@
 }
 
 void Quarantine::evaluate(ContentHash content, TimePoint now) {
-  if (holds(content, now)) return;
+  if (contains(content, now)) return;
   const bool recurred =
       on_probation_.contains(content) && exit_table_.attributed_weight(content) > 0;
   if (!recurred && !exit_table_.over_limit(content)) return;
@@ -128,18 +128,18 @@
   if (change_listener_) change_listener_();
 }
 
-void Quarantine::take_record(ContentHash content, const QuarantineRecord& record, TimePoint now,
-                             std::int64_t time_of_day_ms) {
+void Quarantine::apply_record(ContentHash content, const QuarantineRecord& record, TimePoint now,
+                              std::int64_t time_of_day_ms) {
   const std::int64_t age_ms = std::max<std::int64_t>(0, time_of_day_ms - record.since_ms);
   const TimePoint until = now + kQuarantineTime - std::chrono::milliseconds(age_ms);
   if (until <= now) return;
-  const bool known = holds(content, now);
+  const bool known = contains(content, now);
   QuarantinedRequest& request = quarantined_[content];
   request.recorded = true;
   if (known) return;
   request.until = until;
   log_event(Event::kRequestQuarantined, {{"content", to_hex(value_of(content))},
-                                         {"ends", std::to_string(record.ends)},
+                                         {"ends", std::to_string(record.exits)},
                                          {"source", "log"}});
   if (change_listener_) change_listener_();
 }
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -52,15 +52,15 @@
   /// Returns whether no request is quarantined; requests need not be hashed then.
   [[nodiscard]] bool empty() const { return quarantined_.empty(); }
   /// Returns whether the request is quarantined.
-  [[nodiscard]] bool holds(ContentHash content, TimePoint now) const;
+  [[nodiscard]] bool contains(ContentHash content, TimePoint now) const;
   /// Returns the time until the quarantine expires; 0 if the request is not quarantined.
   [[nodiscard]] Duration time_left(ContentHash content, TimePoint now) const;
   [[nodiscard]] std::size_t size() const { return quarantined_.size(); }
   /// Number of requests with recorded exits.
-  [[nodiscard]] std::size_t suspects() const { return exit_table_.size(); }
+  [[nodiscard]] std::size_t suspect_count() const { return exit_table_.size(); }
 
   /// Records that a runner exited while it had a request of this node.
-  void note_end(const RunnerExit& exit);
+  void record_runner_exit(const RunnerExit& exit);
   /// Records that a request of this node was served or that a batch item made progress.
   void record_progress(ContentHash content, TimePoint now);
   /// Returns whether progress needs to be recorded, which is only the case if there are recorded
@@ -68,16 +68,16 @@
   [[nodiscard]] bool watches_progress() const { return !exit_table_.empty(); }
 
   /// Returns the reports to send to the nodes of the own zone; each report is returned twice.
-  [[nodiscard]] std::vector<RunnerExitReport> take_zone_reports(TimePoint now);
+  [[nodiscard]] std::vector<RunnerExitReport> next_zone_reports(TimePoint now);
   /// Returns the reports to send to nodes of other zones. Each report is returned several times,
   /// because messages may be lost.
-  [[nodiscard]] std::vector<RunnerExitReport> take_remote_reports(TimePoint now);
+  [[nodiscard]] std::vector<RunnerExitReport> next_remote_reports(TimePoint now);
   /// Applies the reports of another node.
-  void take_reports(const std::vector<RunnerExitReport>& reports, TimePoint now);
+  void apply_reports(const std::vector<RunnerExitReport>& reports, TimePoint now);
 
   /// Applies a record from the log.
-  void take_record(ContentHash content, const QuarantineRecord& record, TimePoint now,
-                   std::int64_t time_of_day_ms);
+  void apply_record(ContentHash content, const QuarantineRecord& record, TimePoint now,
+                    std::int64_t time_of_day_ms);
   /// Lifts a quarantine whose log record was deleted by an operator. Has no effect on an expired
   /// quarantine, which the next exit still restores.
   void lift(ContentHash content);
--- a/src/quarantine/quarantine_check.cc
+++ b/src/quarantine/quarantine_check.cc
@@ -8,21 +8,21 @@
 }
 
 bool QuarantineCheck::is_quarantined() {
-  return !quarantine_.empty() && quarantine_.holds(content(), monotonic_now());
+  return !quarantine_.empty() && quarantine_.contains(content(), monotonic_now());
 }
 
 Duration QuarantineCheck::time_left() {
   return quarantine_.time_left(content(), monotonic_now());
 }
 
-void QuarantineCheck::note_run(const FinishedRun& run) {
+void QuarantineCheck::record_run(const FinishedRun& run) {
   const TimePoint now = monotonic_now();
   if (run.progressed) {
     if (quarantine_.watches_progress()) quarantine_.record_progress(content(), now);
     return;
   }
   if (!run.closed_by_runner || run.stage == RunStage::kDelivering) return;
-  quarantine_.note_end({content(), run.runner, run.stage, now});
+  quarantine_.record_runner_exit({content(), run.runner, run.stage, now});
 }
 
 }  // namespace stoathold
--- a/src/quarantine/quarantine_check.h
+++ b/src/quarantine/quarantine_check.h
@@ -31,7 +31,7 @@
   [[nodiscard]] Duration time_left();
   /// Records a finished run. If the runner closed its connection before the first event, it may
   /// have exited because of the request.
-  void note_run(const FinishedRun& run);
+  void record_run(const FinishedRun& run);
 
  private:
   Quarantine& quarantine_;
--- a/src/quarantine/quarantine_log.cc
+++ b/src/quarantine/quarantine_log.cc
@@ -55,7 +55,7 @@
   if (record.value.empty()) {
     quarantine_.lift(ContentHash{hash});
   } else {
-    quarantine_.take_record(ContentHash{hash}, value, monotonic_now(), wall_clock_ms());
+    quarantine_.apply_record(ContentHash{hash}, value, monotonic_now(), wall_clock_ms());
   }
 }
 
--- a/src/quarantine/quarantine_messages.h
+++ b/src/quarantine/quarantine_messages.h
@@ -23,13 +23,13 @@
 };
 
 /// Reports known to the sender.
-struct EndReports {
+struct RunnerExitReports {
   std::vector<RunnerExitReport> reports;
-  bool pass_on = false;  ///< The receiver forwards them within its zone.
+  bool forward = false;  ///< The receiver forwards them within its zone.
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(reports, pass_on);
+    archive(reports, forward);
   }
 };
 
@@ -37,11 +37,11 @@
 struct QuarantineRecord {
   /// Wall clock time of the quarantine at the node that wrote the record.
   std::int64_t since_ms = 0;
-  std::uint32_t ends = 0;  ///< Number of runners that had exited with the request.
+  std::uint32_t exits = 0;  ///< Number of runners that had exited with the request.
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(since_ms, ends);
+    archive(since_ms, exits);
   }
 };
 
--- a/src/quarantine/run_stage.h
+++ b/src/quarantine/run_stage.h
@@ -9,9 +9,9 @@
 
 /// Stages of one run, in order.
 enum class RunStage : std::uint8_t {
-  kWaiting,    ///< No response has started: the run is in progress or waits in the runner's queue.
-  kBegun,      ///< The response headers were received: the run is in progress.
-  kDelivering  ///< An event or part of the body was received.
+  kWaiting,  ///< No response has started: the run is in progress or waits in the runner's queue.
+  kResponseStarted,  ///< The response headers were received: the run is in progress.
+  kDelivering        ///< An event or part of the body was received.
 };
 
 /// Returns the stage's name for logs.
@@ -19,7 +19,7 @@
   switch (stage) {
     case RunStage::kWaiting:
       return "waiting";
-    case RunStage::kBegun:
+    case RunStage::kResponseStarted:
       return "begun";
     case RunStage::kDelivering:
       break;
--- a/src/quarantine/runner_exit_table.h
+++ b/src/quarantine/runner_exit_table.h
@@ -84,7 +84,7 @@
   };
 
   [[nodiscard]] std::uint32_t weight_of(RunStage stage) const {
-    return stage == RunStage::kBegun ? weights_.begun : weights_.waiting;
+    return stage == RunStage::kResponseStarted ? weights_.begun : weights_.waiting;
   }
   /// Returns whether the exit counts: it was not cleared, and no node has heard from the runner
   /// since.
--- a/src/routing/batch_arbiter.cc
+++ b/src/routing/batch_arbiter.cc
@@ -19,24 +19,24 @@
 /// Time without a look at a runner after which its free slots count as newly free.
 constexpr Duration kFreeSlotLifetime = std::chrono::milliseconds(250);
 
-std::uint16_t& count_of(BatchWait& wait, ItemUrgency urgency) {
+std::uint16_t& count_of(BatchQueueDepth& wait, ItemUrgency urgency) {
   return urgency == ItemUrgency::kInTime ? wait.in_time : wait.late;
 }
 
-std::uint16_t count_of(const BatchWait& wait, ItemUrgency urgency) {
+std::uint16_t count_of(const BatchQueueDepth& wait, ItemUrgency urgency) {
   return urgency == ItemUrgency::kInTime ? wait.in_time : wait.late;
 }
 
 }  // namespace
 
-void BatchTurns::begin_wait(std::uint64_t service, ItemUrgency urgency) {
-  BatchWait& wait = own_[service];
+void BatchArbiter::begin_wait(std::uint64_t service, ItemUrgency urgency) {
+  BatchQueueDepth& wait = own_[service];
   wait.service = service;
   if (++count_of(wait, urgency) == 1) ranks_.erase({service, urgency});
   if (listener_) listener_();
 }
 
-void BatchTurns::end_wait(std::uint64_t service, ItemUrgency urgency) {
+void BatchArbiter::end_wait(std::uint64_t service, ItemUrgency urgency) {
   const auto found = own_.find(service);
   if (found == own_.end()) return;
   --count_of(found->second, urgency);
@@ -44,13 +44,14 @@
   if (listener_) listener_();
 }
 
-std::vector<BatchWait> BatchTurns::report() const {
-  std::vector<BatchWait> waits;
+std::vector<BatchQueueDepth> BatchArbiter::report() const {
+  std::vector<BatchQueueDepth> waits;
   for (const auto& [service, wait] : own_) waits.push_back(wait);
   return waits;
 }
 
-void BatchTurns::take(std::uint64_t node, const std::vector<BatchWait>& waits, TimePoint now) {
+void BatchArbiter::apply_report(std::uint64_t node, const std::vector<BatchQueueDepth>& waits,
+                                TimePoint now) {
   if (waits.empty()) {
     peers_.erase(node);
   } else {
@@ -62,7 +63,7 @@
   }
 }
 
-std::vector<SlotContender> BatchTurns::contenders(const QueueKey& key, TimePoint now) const {
+std::vector<SlotContender> BatchArbiter::contenders(const QueueKey& key, TimePoint now) const {
   const auto& [service, urgency] = key;
   std::vector<SlotContender> contenders;
   const auto own = own_.find(service);
@@ -71,7 +72,7 @@
   }
   for (const auto& [node, peer] : peers_) {
     if (now - peer.received_at > kPeerLifetime) continue;
-    for (const BatchWait& wait : peer.waits) {
+    for (const BatchQueueDepth& wait : peer.waits) {
       const std::uint16_t items = count_of(wait, urgency);
       if (wait.service == service && items > 0) contenders.push_back({node, items});
     }
@@ -79,7 +80,7 @@
   return contenders;
 }
 
-std::size_t BatchTurns::rank(const QueueKey& key, std::uint64_t runner, TimePoint now) {
+std::size_t BatchArbiter::rank(const QueueKey& key, std::uint64_t runner, TimePoint now) {
   Ranks& ranks = ranks_[key];
   if (ranks.computed == TimePoint{} || now - ranks.computed > kMinRankInterval) {
     ranks = {now, 0, contenders(key, now), {}};
@@ -94,8 +95,8 @@
   return rank;
 }
 
-bool BatchTurns::may_take(std::uint64_t service, ItemUrgency urgency, std::uint64_t runner,
-                          TimePoint now) {
+bool BatchArbiter::may_use_runner(std::uint64_t service, ItemUrgency urgency, std::uint64_t runner,
+                                  TimePoint now) {
   if (free_slots_.size() > kMaxFreeSlotEntries) {
     std::erase_if(free_slots_, [&](const auto& free_slots) {
       return now - free_slots.second.seen > kFreeSlotLifetime;
@@ -108,8 +109,8 @@
   return now - free_slots.since >= kRankDelay * static_cast<Duration::rep>(ahead);
 }
 
-bool BatchTurns::is_first_in_order(std::uint64_t service, ItemUrgency urgency, std::uint64_t runner,
-                                   TimePoint now) {
+bool BatchArbiter::is_first_in_order(std::uint64_t service, ItemUrgency urgency,
+                                     std::uint64_t runner, TimePoint now) {
   return rank({service, urgency}, runner, now) == 0;
 }
 
--- a/src/routing/batch_arbiter.h
+++ b/src/routing/batch_arbiter.h
@@ -15,7 +15,7 @@
 namespace stoathold {
 
 /// Number of batch items that wait for a slot at one node.
-struct BatchWait {
+struct BatchQueueDepth {
   std::uint64_t service = 0;  ///< Hash of its name.
   std::uint16_t in_time = 0;  ///< Items that can still be on time.
   std::uint16_t late = 0;     ///< Items that cannot.
@@ -40,7 +40,7 @@
 /// items rank behind all nodes that have on-time items.
 ///
 /// The clock is passed in; performs no I/O. Used on one thread.
-class BatchTurns {
+class BatchArbiter {
  public:
   /// @param self this node, as in its digests.
   void set_self(std::uint64_t self) { self_ = self; }
@@ -51,13 +51,14 @@
   void begin_wait(std::uint64_t service, ItemUrgency urgency);
   void end_wait(std::uint64_t service, ItemUrgency urgency);
   /// Returns the waiting items of this node, to be reported to other nodes.
-  [[nodiscard]] std::vector<BatchWait> report() const;
+  [[nodiscard]] std::vector<BatchQueueDepth> report() const;
   /// Replaces the waiting items of another node of the zone by those that it reports.
-  void take(std::uint64_t node, const std::vector<BatchWait>& waits, TimePoint now);
+  void apply_report(std::uint64_t node, const std::vector<BatchQueueDepth>& waits, TimePoint now);
 
   /// Returns whether this node may give an item to a runner that has a free slot. Must be called
   /// whenever a free slot is seen: after 250 ms without a call the slot counts as newly free.
-  bool may_take(std::uint64_t service, ItemUrgency urgency, std::uint64_t runner, TimePoint now);
+  bool may_use_runner(std::uint64_t service, ItemUrgency urgency, std::uint64_t runner,
+                      TimePoint now);
   /// Returns whether this node is first in the order for a runner. Used for runners of other zones,
   /// whose use by other nodes becomes known too late for later ranks to take them.
   bool is_first_in_order(std::uint64_t service, ItemUrgency urgency, std::uint64_t runner,
@@ -67,7 +68,7 @@
 
  private:
   struct Peer {
-    std::vector<BatchWait> waits;
+    std::vector<BatchQueueDepth> waits;
     TimePoint received_at{};
   };
   using QueueKey = std::pair<std::uint64_t, ItemUrgency>;  ///< Service and urgency of items.
@@ -87,7 +88,7 @@
 
   std::uint64_t self_ = 0;
   std::function<void()> listener_;
-  std::map<std::uint64_t, BatchWait> own_;  ///< By service.
+  std::map<std::uint64_t, BatchQueueDepth> own_;  ///< By service.
   std::map<std::uint64_t, Peer> peers_;
   std::map<QueueKey, Ranks> ranks_;
   std::unordered_map<std::uint64_t, FreeSlots> free_slots_;
--- a/src/routing/configuration_catch_up.cc
+++ b/src/routing/configuration_catch_up.cc
@@ -31,7 +31,8 @@
       current_version_(std::move(current)),
       apply_(std::move(apply)) {}
 
-void ConfigurationCatchUp::advertised(const std::string& address, std::uint64_t version) {
+void ConfigurationCatchUp::on_version_advertised(const std::string& address,
+                                                 std::uint64_t version) {
   const std::uint64_t own_version = current_version_();
   if (own_version == 0 || version <= own_version) return;
   const TimePoint now = monotonic_now();
--- a/src/routing/configuration_catch_up.h
+++ b/src/routing/configuration_catch_up.h
@@ -46,7 +46,7 @@
   /// Records the version in force at another node, and requests its record if this node has been
   /// behind for too long.
   /// @param address `ip:port` of that node.
-  void advertised(const std::string& address, std::uint64_t version);
+  void on_version_advertised(const std::string& address, std::uint64_t version);
   /// Requests the newest record of the log from some of these nodes, one after the other.
   /// @param held_offset offset of the record in force at this node, which need not be sent again.
   /// @return whether one of them has read the log, so that the newest record is in force here.
--- a/src/routing/configuration_confirmation.cc
+++ b/src/routing/configuration_confirmation.cc
@@ -35,7 +35,7 @@
   if (is_recent(last_failure_, kFailureBackoff)) co_return false;
   const bool confirmed = co_await confirm_by_log();
   if (confirmed) co_return true;
-  const SharedRead::Read query = [this] { return query_peers(); };
+  const CoalescedRead::Read query = [this] { return query_peers(); };
   const LogStatus status = co_await peer_reads_.run(query, monotonic_now() + kPeersTimeout);
   if (status != LogStatus::kOk) last_failure_ = monotonic_now();
   co_return status == LogStatus::kOk;
@@ -43,7 +43,7 @@
 
 asio::awaitable<bool> ConfigurationConfirmation::confirm_by_log() {
   if (is_recent(sources_.position().confirmed_at, kConfirmationLifetime)) co_return true;
-  const SharedRead::Read read = [this] { return sources_.read_log(); };
+  const CoalescedRead::Read read = [this] { return sources_.read_log(); };
   const LogStatus status = co_await log_reads_.run(read, monotonic_now() + kLogTimeout);
   co_return status == LogStatus::kOk;
 }
--- a/src/routing/configuration_confirmation.h
+++ b/src/routing/configuration_confirmation.h
@@ -44,8 +44,8 @@
   boost::asio::awaitable<LogStatus> query_peers();
 
   ConfirmationSources sources_;
-  SharedRead log_reads_;
-  SharedRead peer_reads_;
+  CoalescedRead log_reads_;
+  CoalescedRead peer_reads_;
   TimePoint confirmed_by_peers_{};
   TimePoint last_failure_{};  ///< When confirmation last failed; the clock's epoch: never.
 };
--- a/src/routing/configuration_position.h
+++ b/src/routing/configuration_position.h
@@ -19,7 +19,9 @@
   TimePoint confirmed_at{};
 
   /// Returns the number of known records that the node has not read.
-  [[nodiscard]] RecordOffset behind() const { return end > next_offset ? end - next_offset : 0; }
+  [[nodiscard]] RecordOffset unread_records() const {
+    return end > next_offset ? end - next_offset : 0;
+  }
   /// Returns the milliseconds since the configuration was last confirmed, for logs; `never` if it
   /// has not been confirmed.
   [[nodiscard]] std::string age_text(TimePoint now) const {
--- a/src/routing/load_messages.h
+++ b/src/routing/load_messages.h
@@ -75,7 +75,7 @@
 
 /// After an online request has preempted a batch item, it is reported as waiting for this time,
 /// which spans several digests. The request may belong to another zone that borrowed the slot.
-inline constexpr Duration kDemandShown = std::chrono::milliseconds(30);
+inline constexpr Duration kDemandReportDuration = std::chrono::milliseconds(30);
 
 /// Online requests for one service that wait at the sender.
 struct ServiceDemand {
@@ -100,23 +100,23 @@
   std::vector<EjectedRunner> ejected;  ///< Inside the zone only.
   std::vector<ServiceDemand> demand;   ///< Waiting online requests.
   std::string origin;                  ///< Sender's `ip:port` if the digest may be forwarded.
-  bool pass_on = false;                ///< The receiver forwards the digest inside its zone.
+  bool forward = false;                ///< The receiver forwards the digest inside its zone.
   /// Nodes of the sender's zone from which it has received a message recently; sent periodically.
   std::vector<NodeEndpoint> neighbours;
   std::uint64_t configuration_version = 0;  ///< Version in force at the sender; 0: none yet.
   std::vector<TenantUsage> tenants;      ///< Usage that the sender admitted; inside the zone only.
   std::vector<RunnerAnswers> answers;    ///< Inside the zone only.
-  std::vector<RoutePace> paces;          ///< Estimates of the sender; sent periodically.
+  std::vector<RouteStreamRate> paces;    ///< Estimates of the sender; sent periodically.
   std::vector<ServiceBacklog> backlogs;  ///< Inside the zone only.
-  std::vector<ShareUse> share_uses;      ///< Inside the zone only.
-  std::vector<SpeedReport> speeds;       ///< Inside the zone only.
-  std::vector<ReturnReport> returns;     ///< Inside the zone only.
-  std::vector<BatchWait> batch_waits;    ///< Inside the zone only.
+  std::vector<SlotTimeReport> share_uses;    ///< Inside the zone only.
+  std::vector<SpeedReport> speeds;           ///< Inside the zone only.
+  std::vector<RetryBookingReport> returns;   ///< Inside the zone only.
+  std::vector<BatchQueueDepth> batch_waits;  ///< Inside the zone only.
   bool leaving = false;  ///< The sender is shutting down and admits no more requests.
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(sender, sequence, zone, uses, ejected, demand, origin, pass_on, neighbours);
+    archive(sender, sequence, zone, uses, ejected, demand, origin, forward, neighbours);
     archive(configuration_version, tenants, answers, paces);
     archive(backlogs, share_uses, speeds, returns, batch_waits, leaving);
   }
@@ -149,17 +149,17 @@
 struct ZoneLoads {
   std::uint64_t zone = 0;  ///< Hash of the sender's zone.
   std::vector<ZoneRunnerLoad> loads;
-  bool pass_on = false;  ///< The receiver forwards the message inside its zone.
+  bool forward = false;  ///< The receiver forwards the message inside its zone.
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(zone, loads, pass_on);
+    archive(zone, loads, forward);
   }
 };
 
 /// Content of one datagram.
 using PeerLoadMessage = std::variant<LoadDigest, YieldRequest, ZoneLoads, ZoneTenantUsage,
-                                     EndReports, SlotLoanRequest, SlotLoan, SlotLoanReturn>;
+                                     RunnerExitReports, SlotLoanRequest, SlotLoan, SlotLoanReturn>;
 
 std::string encode_message(const PeerLoadMessage& message);
 /// Decodes a datagram.
--- a/src/routing/neighbour_table.cc
+++ b/src/routing/neighbour_table.cc
@@ -36,7 +36,7 @@
   for (const auto& endpoint : listed) find_or_add(endpoint).listed = true;
 }
 
-void NeighbourTable::heard(const Endpoint& endpoint, TimePoint now) {
+void NeighbourTable::record_message(const Endpoint& endpoint, TimePoint now) {
   Neighbour& neighbour = find_or_add(endpoint);
   neighbour.last_message = now;
   neighbour.last_mentioned = now;
@@ -75,7 +75,7 @@
   return live;
 }
 
-std::vector<NodeEndpoint> NeighbourTable::heard_lately(TimePoint now) const {
+std::vector<NodeEndpoint> NeighbourTable::live_nodes(TimePoint now) const {
   std::vector<NodeEndpoint> reported;
   for (const auto& neighbour : neighbours_) {
     if (!neighbour.is_live(now) || !neighbour.endpoint.address().is_v4()) continue;
--- a/src/routing/neighbour_table.h
+++ b/src/routing/neighbour_table.h
@@ -27,7 +27,7 @@
   /// Replaces the set of nodes of the zone that the group lists.
   void set_listed(const std::vector<Endpoint>& listed);
   /// Records that a message was received from a node.
-  void heard(const Endpoint& endpoint, TimePoint now);
+  void record_message(const Endpoint& endpoint, TimePoint now);
   /// Adds nodes that another node reports as live.
   /// @param self address of this node, which is skipped.
   void add_reported(const std::vector<NodeEndpoint>& neighbours, const Endpoint& self,
@@ -36,7 +36,7 @@
   void expire(TimePoint now);
 
   /// Returns the nodes from which this node has recently received a message, for its own messages.
-  [[nodiscard]] std::vector<NodeEndpoint> heard_lately(TimePoint now) const;
+  [[nodiscard]] std::vector<NodeEndpoint> live_nodes(TimePoint now) const;
   /// Whether this node reports the zone's loads to other zones, which the few live nodes with the
   /// lowest addresses do. While nodes know different neighbours, more or fewer nodes may report.
   [[nodiscard]] bool is_zone_reporter(const Endpoint& self, TimePoint now) const;
--- a/src/routing/peer_ejections.cc
+++ b/src/routing/peer_ejections.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void PeerEjections::take(const PeerEjection& ejection, TimePoint now) {
+void PeerEjections::add_report(const PeerEjection& ejection, TimePoint now) {
   std::erase_if(reports_, [&](const PeerEjection& report) {
     return report.reporter == ejection.reporter || now - report.until > kReportLifetime;
   });
--- a/src/routing/peer_ejections.h
+++ b/src/routing/peer_ejections.h
@@ -27,7 +27,7 @@
 class PeerEjections {
  public:
   /// Adds a report, which replaces an older one of the same reporter.
-  void take(const PeerEjection& ejection, TimePoint now);
+  void add_report(const PeerEjection& ejection, TimePoint now);
   /// Returns the end of the runner's ejection; the clock's epoch if it is not ejected.
   /// @param last_response time of the runner's last response to this or any other node.
   /// @param last_served when the runner last served a request of this node.
--- a/src/routing/peer_loads.cc
+++ b/src/routing/peer_loads.cc
@@ -71,7 +71,7 @@
 
 std::vector<std::string> PeerLoads::live_neighbours() const {
   std::vector<std::string> addresses;
-  for (const auto& node : zone_nodes_.heard_lately(monotonic_now())) {
+  for (const auto& node : zone_nodes_.live_nodes(monotonic_now())) {
     addresses.push_back(address_text({asio::ip::address_v4(node.ip), node.port}));
   }
   return addresses;
@@ -121,9 +121,9 @@
   } else if (auto* loads = std::get_if<ZoneLoads>(&message)) {
     handle_zone_loads(std::move(*loads));
   } else if (auto* usage = std::get_if<ZoneTenantUsage>(&message)) {
-    if (tenant_gossip_) tenant_gossip_->take_zone_report(*usage, monotonic_now());
-    if (usage->pass_on) forward_in_zone(std::move(*usage));
-  } else if (auto* ends = std::get_if<EndReports>(&message)) {
+    if (tenant_gossip_) tenant_gossip_->apply_zone_report(*usage, monotonic_now());
+    if (usage->forward) forward_in_zone(std::move(*usage));
+  } else if (auto* ends = std::get_if<RunnerExitReports>(&message)) {
     handle_end_reports(std::move(*ends));
   } else if (const auto* yield = std::get_if<YieldRequest>(&message)) {
     if (yield_handler_) yield_handler_(*yield);
@@ -140,18 +140,18 @@
   if (parse_endpoint(digest.origin, origin)) endpoint = {origin.address(), origin.port()};
   const TimePoint now = monotonic_now();
   if (digest.zone == stable_hash(zone_)) {
-    zone_nodes_.heard(endpoint, now);
+    zone_nodes_.record_message(endpoint, now);
     zone_nodes_.add_reported(digest.neighbours, socket_.local_endpoint(), now);
     apply_ejections(digest, now);
     if (pace_listener_) std::for_each(digest.paces.begin(), digest.paces.end(), pace_listener_);
     apply_tenant_reports(digest, now);
-    for (const DigestPart& part : digest_parts_) part.take(digest, now);
+    for (const DigestPart& part : digest_parts_) part.apply(digest, now);
     if (version_listener_) {
       version_listener_(address_text(endpoint), digest.configuration_version);
     }
   }
-  if (digest.pass_on) forward_in_zone(digest);
-  const bool slot_may_be_free = peer_uses_.take(std::move(digest), endpoint, own_demand(), now);
+  if (digest.forward) forward_in_zone(digest);
+  const bool slot_may_be_free = peer_uses_.apply(std::move(digest), endpoint, own_demand(), now);
   if (slot_may_be_free && change_listener_) change_listener_();
 }
 
@@ -159,7 +159,7 @@
 /// their senders access the runners from inside the zone, as this node does.
 void PeerLoads::apply_ejections(const LoadDigest& digest, TimePoint now) {
   for (const auto& reported : digest.ejected) {
-    Runner* runner = registry_.find_hash(reported.runner);
+    Runner* runner = registry_.find_by_hash(reported.runner);
     if (runner == nullptr) continue;
     const PeerEjection ejection{
         .reporter = digest.sender,
@@ -167,18 +167,18 @@
         .until = now + std::chrono::milliseconds(reported.remaining_ms),
         .failures = reported.failures,
         .by_errors = reported.by_errors};
-    runner->take_peer_ejection(ejection, now);
+    runner->apply_peer_ejection(ejection, now);
   }
   for (const auto& reported : digest.answers) {
-    Runner* runner = registry_.find_hash(reported.runner);
+    Runner* runner = registry_.find_by_hash(reported.runner);
     if (runner == nullptr) continue;
-    const AnswerCounts counts{reported.errors / kResponseCountScale,
-                              reported.served / kResponseCountScale};
-    runner->take_answer_counts(digest.sender, counts, now);
+    const ResponseCounts counts{reported.errors / kResponseCountScale,
+                                reported.served / kResponseCountScale};
+    runner->apply_peer_response_counts(digest.sender, counts, now);
   }
 }
 
-bool PeerLoads::ask_for_place(const YieldRequest& request) {
+bool PeerLoads::send_yield_request(const YieldRequest& request) {
   const auto target = peer_uses_.reserve_batch_slot(request);
   if (!target) return false;
   send_to(*target, encode_message(request));
@@ -207,7 +207,7 @@
     digest.uses.push_back({runner->hash(), static_cast<std::uint16_t>(in_flight),
                            static_cast<std::uint16_t>(runner->batch_in_flight()),
                            runner->backlog_tokens(),
-                           saturated_milliseconds(now - runner->last_heard())});
+                           saturating_milliseconds(now - runner->last_receive_time())});
   }
   if (digest.uses.size() > kMaxUses) {
     std::sort(digest.uses.begin(), digest.uses.end(),
@@ -225,9 +225,9 @@
   for (const auto& [id, runner] : registry_.all()) {
     const auto own = runner->own_ejection(now);
     if (!own) continue;
-    ejected.push_back({runner->hash(), saturated_milliseconds(now - own->failed_at),
-                       saturated_milliseconds(own->until - now),
-                       saturated<std::uint8_t>(own->failures), own->by_errors});
+    ejected.push_back({runner->hash(), saturating_milliseconds(now - own->failed_at),
+                       saturating_milliseconds(own->until - now),
+                       saturating_cast<std::uint8_t>(own->failures), own->by_errors});
     if (ejected.size() >= kMaxEjections) break;
   }
   return ejected;
@@ -236,18 +236,19 @@
 std::vector<RunnerAnswers> PeerLoads::make_answer_counts(TimePoint now) const {
   std::vector<RunnerAnswers> answers;
   for (const auto& [id, runner] : registry_.all()) {
-    const auto counts = runner->answer_counts(now);
+    const auto counts = runner->own_response_counts(now);
     if (!counts) continue;
-    answers.push_back(
-        {runner->hash(),
-         saturated<std::uint8_t>(static_cast<std::int64_t>(counts->errors * kResponseCountScale)),
-         saturated<std::uint8_t>(static_cast<std::int64_t>(counts->served * kResponseCountScale))});
+    answers.push_back({runner->hash(),
+                       saturating_cast<std::uint8_t>(
+                           static_cast<std::int64_t>(counts->errors * kResponseCountScale)),
+                       saturating_cast<std::uint8_t>(
+                           static_cast<std::int64_t>(counts->served * kResponseCountScale))});
     if (answers.size() >= kMaxAnswerCounts) break;
   }
   return answers;
 }
 
-void PeerLoads::use_changed() {
+void PeerLoads::notify_use_changed() {
   schedule_send();
   if (slot_exchange_ != nullptr && registry_.lending()) schedule_slot_tick();
 }
@@ -277,7 +278,7 @@
   if (tenant_gossip_) digest.tenants = tenant_gossip_->make_report(full_report, last_sent_);
   if (version_source_) digest.configuration_version = version_source_();
   if (full_report) {
-    digest.neighbours = zone_nodes_.heard_lately(last_sent_);
+    digest.neighbours = zone_nodes_.live_nodes(last_sent_);
     if (pace_source_) digest.paces = pace_source_();
     last_full_report_ = last_sent_;
   }
@@ -301,7 +302,7 @@
   tenant_timer_.async_wait([this](boost::system::error_code error) {
     if (error) return;
     const TimePoint now = monotonic_now();
-    tenant_gossip_->check_silence(now);
+    tenant_gossip_->update_silent_nodes(now);
     if (tenant_gossip_->needed()) {
       send_tenant_usage();
       if (now - last_sent_ >= kTenantReportInterval) schedule_send();
--- a/src/routing/peer_loads.h
+++ b/src/routing/peer_loads.h
@@ -43,7 +43,7 @@
   ///   compensate for lost messages.
   std::function<void(LoadDigest& digest, bool full_report, TimePoint now)> add;
   /// Processes a digest received from another node of the zone.
-  std::function<void(const LoadDigest& digest, TimePoint now)> take;
+  std::function<void(const LoadDigest& digest, TimePoint now)> apply;
 };
 
 /// Sends and receives load messages over UDP and keeps the peers' use and demand in the registry up
@@ -69,7 +69,7 @@
   void set_yield_handler(YieldHandler handler) { yield_handler_ = std::move(handler); }
   /// Includes the usage that nodes admitted for tenants in the messages. The limits must outlive
   /// this object.
-  void share_tenant_usage(TenantLimits& limits) {
+  void share_tenant_usage(TenantRateLimiter& limits) {
     tenant_gossip_.emplace(limits, sender_, stable_hash(zone_));
   }
   /// Reports runners that terminated while serving requests to other nodes. The quarantine must
@@ -86,8 +86,8 @@
   void set_version_listener(VersionListener listener) { version_listener_ = std::move(listener); }
   /// Shares estimates of routes' response times: `source` returns those of this node, `listener`
   /// receives those of other nodes.
-  using PaceSource = std::function<std::vector<RoutePace>()>;
-  using PaceListener = std::function<void(const RoutePace&)>;
+  using PaceSource = std::function<std::vector<RouteStreamRate>()>;
+  using PaceListener = std::function<void(const RouteStreamRate&)>;
   void share_paces(PaceSource source, PaceListener listener) {
     pace_source_ = std::move(source);
     pace_listener_ = std::move(listener);
@@ -96,16 +96,16 @@
   void add_digest_part(DigestPart part) { digest_parts_.push_back(std::move(part)); }
   /// Transports the slot loan messages of an exchange, which must outlive this object.
   /// @param waiting returns the online requests that wait at this node, in placement order.
-  void share_slots(SlotExchange& exchange,
-                   std::function<std::vector<WaitingWork>(TimePoint now)> waiting);
+  void set_slot_exchange(SlotExchange& exchange,
+                         std::function<std::vector<WaitingRequest>(TimePoint now)> waiting);
   /// Sends the request to the node that runs the most batch items at the runners it selects.
   /// @return false if no node is known to run batch items there.
-  bool ask_for_place(const YieldRequest& request);
+  bool send_yield_request(const YieldRequest& request);
   /// Announces that this node shuts down and admits no more requests; the other nodes take over its
   /// shares of the tenants' limits. Further calls have no effect.
   void leave();
   /// Schedules a digest after this node's use of a runner has changed.
-  void use_changed();
+  void notify_use_changed();
   /// Returns the bound address with the actual port.
   [[nodiscard]] std::string address() const;
   [[nodiscard]] std::size_t peer_count() const { return zone_nodes_.size(); }
@@ -125,7 +125,7 @@
   /// Forwards a message of another zone to the nodes of this zone.
   template <typename Message>
   void forward_in_zone(Message message) {
-    message.pass_on = false;
+    message.forward = false;
     send_to_zone(encode_message(message));
   }
   /// Sends a message to all nodes of this zone.
@@ -133,7 +133,7 @@
   /// Sends a message to one node of each other zone.
   /// @param rotation selects the node; consecutive values select different nodes.
   void send_to_other_zones(const std::string& bytes, std::size_t rotation);
-  void handle_end_reports(EndReports reports);
+  void handle_end_reports(RunnerExitReports reports);
   void schedule_end_reports();
   void send_end_reports();
   void send_remote_end_reports();
--- a/src/routing/peer_loads_slots.cc
+++ b/src/routing/peer_loads_slots.cc
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-void PeerLoads::share_slots(SlotExchange& exchange,
-                            std::function<std::vector<WaitingWork>(TimePoint now)> waiting) {
+void PeerLoads::set_slot_exchange(
+    SlotExchange& exchange, std::function<std::vector<WaitingRequest>(TimePoint now)> waiting) {
   slot_exchange_ = &exchange;
   SlotExchangeCallbacks callbacks;
   callbacks.address = address();
@@ -34,13 +34,13 @@
     send_to({endpoint.address(), endpoint.port()}, encode_message(message));
   };
   callbacks.lending_nodes = [this] { return lending_nodes(); };
-  callbacks.on_lent_changed = [this] { use_changed(); };
+  callbacks.on_lent_changed = [this] { notify_use_changed(); };
   callbacks.on_borrowed = [this] {
     if (change_listener_) change_listener_();
   };
   callbacks.yield = [this](const Runner& runner) {
     const YieldRequest request{runner.record().service, zone_, runner.hash()};
-    const bool sent = ask_for_place(request);
+    const bool sent = send_yield_request(request);
     if (!sent && yield_handler_) yield_handler_(request);
   };
   callbacks.waiting_requests = std::move(waiting);
--- a/src/routing/peer_loads_zones.cc
+++ b/src/routing/peer_loads_zones.cc
@@ -32,10 +32,10 @@
   if (loads.zone == stable_hash(zone_)) return;
   const TimePoint now = monotonic_now();
   for (const auto& reported : loads.loads) {
-    Runner* runner = registry_.find_hash(reported.runner);
-    if (runner != nullptr) runner->take_zone_load(reported.percent / kPercent, now);
+    Runner* runner = registry_.find_by_hash(reported.runner);
+    if (runner != nullptr) runner->apply_zone_load(reported.percent / kPercent, now);
   }
-  if (loads.pass_on) forward_in_zone(std::move(loads));
+  if (loads.forward) forward_in_zone(std::move(loads));
   if (change_listener_) change_listener_();
 }
 
@@ -53,7 +53,7 @@
     if (!uses && !reported_zones_.contains(zone)) continue;
     LoadDigest digest = make_digest(zone);
     digest.origin = address();
-    digest.pass_on = true;
+    digest.forward = true;
     send_to(peers[remote_rotation_ % peers.size()], encode_message(digest));
   }
   ++remote_rotation_;
@@ -67,7 +67,7 @@
   if (remote_zones_.empty() || !zone_nodes_.is_zone_reporter(socket_.local_endpoint(), now)) return;
   ZoneLoads message;
   message.zone = stable_hash(zone_);
-  message.pass_on = true;
+  message.forward = true;
   for (const auto& [id, runner] : registry_.all()) {
     if (runner->record().zone != zone_ || !runner->available()) continue;
     const bool usable = !runner->ejected(now);
@@ -93,8 +93,8 @@
 void PeerLoads::apply_tenant_reports(const LoadDigest& digest, TimePoint now) {
   if (!tenant_gossip_) return;
   if (!digest.leaving) {
-    tenant_gossip_->take_report(digest.sender, digest.tenants, now);
-  } else if (tenant_gossip_->take_leave(digest.sender, digest.tenants, now)) {
+    tenant_gossip_->apply_report(digest.sender, digest.tenants, now);
+  } else if (tenant_gossip_->apply_leave(digest.sender, digest.tenants, now)) {
     log_event(Event::kLimitShareGivenBack, {{"sender", to_hex(digest.sender)}});
   }
 }
@@ -117,10 +117,10 @@
   quarantine.set_report_listener([this] { schedule_end_reports(); });
 }
 
-void PeerLoads::handle_end_reports(EndReports reports) {
+void PeerLoads::handle_end_reports(RunnerExitReports reports) {
   if (quarantine_ == nullptr) return;
-  quarantine_->take_reports(reports.reports, monotonic_now());
-  if (reports.pass_on) forward_in_zone(std::move(reports));
+  quarantine_->apply_reports(reports.reports, monotonic_now());
+  if (reports.forward) forward_in_zone(std::move(reports));
 }
 
 void PeerLoads::schedule_end_reports() {
@@ -137,7 +137,7 @@
 
 void PeerLoads::send_end_reports() {
   if (quarantine_ == nullptr || zone_nodes_.empty()) return;
-  const EndReports message{.reports = quarantine_->take_zone_reports(monotonic_now())};
+  const RunnerExitReports message{.reports = quarantine_->next_zone_reports(monotonic_now())};
   if (message.reports.empty()) return;
   const std::string bytes = encode_message(message);
   send_to_zone(bytes);
@@ -148,8 +148,8 @@
 /// node has no effect.
 void PeerLoads::send_remote_end_reports() {
   if (quarantine_ == nullptr || remote_zones_.empty()) return;
-  const EndReports message{.reports = quarantine_->take_remote_reports(monotonic_now()),
-                           .pass_on = true};
+  const RunnerExitReports message{.reports = quarantine_->next_remote_reports(monotonic_now()),
+                                  .forward = true};
   if (message.reports.empty()) return;
   const std::string bytes = encode_message(message);
   send_to_other_zones(bytes, remote_rotation_);
--- a/src/routing/peer_use_table.cc
+++ b/src/routing/peer_use_table.cc
@@ -29,8 +29,8 @@
   return found == states_.end() || digest.sequence > found->second.sequence;
 }
 
-bool PeerUseTable::take(LoadDigest digest, const Endpoint& endpoint,
-                        const std::vector<ServiceDemand>& own_demand, TimePoint now) {
+bool PeerUseTable::apply(LoadDigest digest, const Endpoint& endpoint,
+                         const std::vector<ServiceDemand>& own_demand, TimePoint now) {
   const std::uint64_t sender = digest.sender;
   PeerState& state = states_[sender];
   PeerState next{digest.sequence,         digest.zone, now, endpoint, std::move(digest.uses),
@@ -95,7 +95,7 @@
     });
     const std::uint32_t left = same == after.uses.end() ? 0 : same->in_flight;
     if (left >= old_use.in_flight) continue;
-    Runner* runner = registry_.find_hash(old_use.runner);
+    Runner* runner = registry_.find_by_hash(old_use.runner);
     if (runner == nullptr) continue;
     const auto contenders = contenders_for(runner->record().service, own_demand, now);
     if (contenders.empty()) continue;
@@ -111,7 +111,7 @@
 void PeerUseTable::add_to_sums(const PeerState& state, Direction direction) {
   const int sign = direction == Direction::kAdd ? 1 : -1;
   for (const auto& use : state.uses) {
-    Runner* runner = registry_.find_hash(use.runner);
+    Runner* runner = registry_.find_by_hash(use.runner);
     if (runner == nullptr) continue;
     runner->change_peer_use(sign * static_cast<std::int64_t>(use.in_flight),
                             sign * static_cast<std::int64_t>(use.backlog_tokens),
@@ -130,9 +130,10 @@
 void PeerUseTable::record_responses(const PeerState& state, TimePoint now) {
   for (const auto& use : state.uses) {
     if (use.response_age_ms == std::numeric_limits<std::uint16_t>::max()) continue;
-    Runner* runner = registry_.find_hash(use.runner);
+    Runner* runner = registry_.find_by_hash(use.runner);
     const TimePoint responded_at = now - std::chrono::milliseconds(use.response_age_ms);
-    if (runner != nullptr && responded_at > runner->last_heard()) runner->heard(responded_at);
+    if (runner != nullptr && responded_at > runner->last_receive_time())
+      runner->record_receive(responded_at);
   }
 }
 
@@ -172,7 +173,7 @@
 bool PeerUseTable::runs_batch_at(const RunnerUse& use, const YieldRequest& request) const {
   if (use.batch_in_flight == 0) return false;
   if (request.runner != 0 && request.runner != use.runner) return false;
-  const Runner* runner = registry_.find_hash(use.runner);
+  const Runner* runner = registry_.find_by_hash(use.runner);
   return runner != nullptr && runner->record().zone == request.zone &&
          runner->record().service == request.service;
 }
@@ -191,7 +192,7 @@
   --use.batch_in_flight;
   if (use.in_flight == 0) return;
   --use.in_flight;
-  Runner* runner = registry_.find_hash(use.runner);
+  Runner* runner = registry_.find_by_hash(use.runner);
   const bool counted = counted_revision_ == registry_.revision();
   if (runner != nullptr && counted) runner->change_peer_use(-1, 0, -1);
 }
--- a/src/routing/peer_use_table.h
+++ b/src/routing/peer_use_table.h
@@ -32,8 +32,8 @@
   /// @param endpoint of the sender.
   /// @param own_demand online requests that wait at this node.
   /// @return whether a slot may have become available to requests that wait at this node.
-  bool take(LoadDigest digest, const Endpoint& endpoint,
-            const std::vector<ServiceDemand>& own_demand, TimePoint now);
+  bool apply(LoadDigest digest, const Endpoint& endpoint,
+             const std::vector<ServiceDemand>& own_demand, TimePoint now);
   /// Drops the digests of nodes that have not sent one for a long time.
   /// @return as `apply`.
   bool expire(TimePoint now);
--- a/src/routing/placement_queue.cc
+++ b/src/routing/placement_queue.cc
@@ -39,9 +39,9 @@
 bool PlacementQueue::precedes(const PlacementTicket& left, const PlacementTicket& right) {
   const auto rank = [](const PlacementTicket& ticket) {
     const PlacementRequest& request = ticket.request_;
-    const bool newcomer = request.standing == AdmissionStanding::kNewcomer;
-    return std::tuple(request.work, request.priority, request.turn, newcomer, request.due,
-                      ticket.number_);
+    const bool newcomer = request.standing == AdmissionClass::kNewRequest;
+    return std::tuple(request.work, request.priority, request.fair_share_rank, newcomer,
+                      request.due, ticket.number_);
   };
   return rank(left) < rank(right);
 }
@@ -58,7 +58,8 @@
       review_timer_(executor_) {}
 
 std::shared_ptr<PlacementTicket> PlacementQueue::make_ticket(PlacementRequest request) {
-  if (policy_.turn) request.turn = policy_.turn(request, monotonic_now());
+  if (policy_.fair_share_rank)
+    request.fair_share_rank = policy_.fair_share_rank(request, monotonic_now());
   auto ticket = std::make_shared<PlacementTicket>(executor_, std::move(request));
   ticket->number_ = next_number_++;
   return ticket;
@@ -67,7 +68,8 @@
 /// The first free slots do not mean that a burst of online work has ended: batch items that took
 /// them would be preempted again after their prompts had been processed.
 double PlacementQueue::batch_reserve(const std::string& service, TimePoint now) {
-  const double expected = policy_.batch_leaves ? policy_.batch_leaves(service, now) : 0;
+  const double expected =
+      policy_.batch_reserve_fraction ? policy_.batch_reserve_fraction(service, now) : 0;
   const auto found = last_demand_.find(service);
   if (found == last_demand_.end()) return expected;
   const double part = to_seconds(now - found->second) / to_seconds(kBurstReserveDecay);
@@ -76,7 +78,7 @@
 
 bool PlacementQueue::try_place(PlacementTicket& ticket, TimePoint now) {
   const PlacementRequest& request = ticket.request_;
-  if (request.last_start != TimePoint{} && now > request.last_start) return false;
+  if (request.latest_start != TimePoint{} && now > request.latest_start) return false;
   SelectionRequest wanted = request.selection;
   wanted.borrowed_only = request.work == WorkClass::kOnline && registry_.lending();
   if (request.work == WorkClass::kBatch) {
@@ -99,8 +101,8 @@
 /// Starts the attempt at the selected runner.
 void PlacementQueue::begin(const PlacementTicket& ticket, TimePoint now) {
   const Selection& selection = ticket.selection_;
-  selection.runner->begin_attempt(selection.tokens_to_read, ticket.request_.work);
-  if (policy_.placed) policy_.placed(ticket.request_, now);
+  selection.runner->begin_attempt(selection.uncached_prompt_tokens, ticket.request_.work);
+  if (policy_.on_placed) policy_.on_placed(ticket.request_, now);
   if (use_listener_) use_listener_();
 }
 
@@ -108,8 +110,8 @@
 /// It goes to a full runner only if its first event is on time even after the longest wait for a
 /// batch item to end.
 bool PlacementQueue::may_queue_at_runner(const PlacementRequest& request, TimePoint now) const {
-  if (!request.runs_once || request.last_use == TimePoint{}) return true;
-  return now + kMaxYieldTime + request.first_event < request.last_use;
+  if (!request.runs_once || request.first_event_deadline == TimePoint{}) return true;
+  return now + kMaxYieldTime + request.first_event < request.first_event_deadline;
 }
 
 /// Online work preempts a batch item without waiting for its slot: the request waits in the
@@ -144,7 +146,7 @@
       notify_unplaced(*ticket);
       co_return nullptr;
     }
-    if (policy_.waits) policy_.waits(request, position, now);
+    if (policy_.on_queued) policy_.on_queued(request, position, now);
     schedule_review();
   }
   waiting_.insert(ticket);
@@ -152,7 +154,7 @@
   schedule_poll();
   // Slots of other zones are requested at once instead of with the next periodic report.
   if (use_listener_ && registry_.lending()) use_listener_();
-  ticket->timer_.expires_after(std::max(Duration{0}, ticket->request_.give_up - now));
+  ticket->timer_.expires_after(std::max(Duration{0}, ticket->request_.queue_deadline - now));
   auto& runner = ticket->selection_.runner;
   if (!ticket->cancelled_ && !runner) {
     co_await ticket->timer_.async_wait(asio::as_tuple(asio::use_awaitable));
@@ -165,7 +167,7 @@
   }
   if (runner && ticket->cancelled_) {
     runner->end_attempt(AttemptOutcome::kAbandoned, monotonic_now(),
-                        ticket->selection_.tokens_to_read, ticket->request_.work);
+                        ticket->selection_.uncached_prompt_tokens, ticket->request_.work);
     runner.reset();
     capacity_changed();
   } else if (!runner) {
@@ -185,22 +187,23 @@
   if (monotonic_now() - last_review_ >= kMinReviewInterval) reject_unservable();
 }
 
-void PlacementQueue::drop_hopeless() {
+void PlacementQueue::drop_obsolete() {
   // Cancelled tickets leave the queue when their waits return, not in this loop.
   for (const auto& ticket : waiting_) {
-    if (ticket->request_.hopeless && ticket->request_.hopeless()) ticket->cancel();
+    if (ticket->request_.is_obsolete && ticket->request_.is_obsolete()) ticket->cancel();
   }
 }
 
 void PlacementQueue::notify_unplaced(const PlacementTicket& ticket) const {
-  if (policy_.left) policy_.left(ticket.request_, monotonic_now());
+  if (policy_.on_unplaced) policy_.on_unplaced(ticket.request_, monotonic_now());
 }
 
 bool PlacementQueue::yields_slots(const PlacementRequest& request) const {
-  if (policy_.yields && policy_.yields(request)) return true;
-  const bool newcomer = request.standing == AdmissionStanding::kNewcomer;
-  return newcomer && is_online(request) && policy_.returns_due && policy_.may_leave_to_returned &&
-         policy_.may_leave_to_returned(request) && policy_.returns_due(request.selection.service);
+  if (policy_.yields_to_peers && policy_.yields_to_peers(request)) return true;
+  const bool newcomer = request.standing == AdmissionClass::kNewRequest;
+  return newcomer && is_online(request) && policy_.expects_booked_retries &&
+         policy_.may_yield_to_booked_retries && policy_.may_yield_to_booked_retries(request) &&
+         policy_.expects_booked_retries(request.selection.service);
 }
 
 /// Rejects a request that is certain to miss its deadline.
@@ -294,7 +297,7 @@
 
 /// Nodes select runners from digests that are some 10 ms old, so occasionally more of them select a
 /// runner than it has slots. The runner's own queue has no priorities.
-bool PlacementQueue::relieve(const Runner& runner) {
+bool PlacementQueue::preempt_if_overcommitted(const Runner& runner) {
   if (!yield_handler_ || !runner.overcommitted()) return false;
   last_demand_[runner.record().service] = monotonic_now();
   yield_handler_(runner.record().service, &runner);
--- a/src/routing/placement_queue.h
+++ b/src/routing/placement_queue.h
@@ -33,21 +33,23 @@
   WorkClass work = WorkClass::kOnline;
   std::uint32_t priority = 0;  ///< 0 is the most urgent.
   TimePoint due{};             ///< Placed before this time, the request is on time.
-  TimePoint give_up{};         ///< The queue drops the request after this time.
+  TimePoint queue_deadline{};  ///< The queue drops the request after this time.
   std::string tenant;          ///< Empty: anonymous.
   std::string route;
-  TimePoint last_use{};  ///< Latest useful first event; the caller is gone after it; zero: unknown.
-  Duration slot_time{0};   ///< Predicted time for which it holds a slot; 0: unknown.
+  TimePoint first_event_deadline{};  ///< Latest useful first event; the caller is gone after it;
+                                     ///< zero: unknown.
+  Duration slot_time{0};             ///< Predicted time for which it holds a slot; 0: unknown.
   bool runs_once = false;  ///< It may not be sent to another runner once one may have run it.
-  double turn = 0;  ///< Fair-share rank within a priority, lower first; set by `PlacementPolicy`.
-  TimePoint arrival{};      ///< Arrival at this node.
-  TimePoint deadline{};     ///< The caller waits or retries until then; zero: unknown.
-  Duration first_event{0};  ///< Typical time from slot to first event; 0: unknown.
-  TimePoint last_start{};   ///< Latest start at which the caller is still there; zero: unbounded.
+  double fair_share_rank =
+      0;  ///< Fair-share rank within a priority, lower first; set by `PlacementPolicy`.
+  TimePoint arrival{};       ///< Arrival at this node.
+  TimePoint deadline{};      ///< The caller waits or retries until then; zero: unknown.
+  Duration first_event{0};   ///< Typical time from slot to first event; 0: unknown.
+  TimePoint latest_start{};  ///< Latest start at which the caller is still there; zero: unbounded.
   /// Among requests of equal rank, callers that return after a rejection precede newcomers.
-  AdmissionStanding standing = AdmissionStanding::kNewcomer;
+  AdmissionClass standing = AdmissionClass::kNewRequest;
   /// Returns whether a change of circumstances has made the placement pointless; null: never.
-  std::function<bool()> hopeless;
+  std::function<bool()> is_obsolete;
 };
 
 inline bool is_online(const PlacementRequest& request) {
@@ -60,26 +62,26 @@
 
 /// Callbacks through which other modules decide about queued requests and observe them. Each may be
 /// null. Whatever a callback refers to must outlive the queue.
-struct PlacementDecisions {
+struct PlacementPolicy {
   /// Returns the fair-share rank of an arriving request within its priority.
-  std::function<double(const PlacementRequest& request, TimePoint now)> turn;
+  std::function<double(const PlacementRequest& request, TimePoint now)> fair_share_rank;
   /// Called when a request has been assigned a slot.
-  std::function<void(const PlacementRequest& request, TimePoint now)> placed;
+  std::function<void(const PlacementRequest& request, TimePoint now)> on_placed;
   /// Called when a request leaves the queue without a slot.
-  std::function<void(const PlacementRequest& request, TimePoint now)> left;
+  std::function<void(const PlacementRequest& request, TimePoint now)> on_unplaced;
   /// Returns whether an on-time online request leaves slots to those on-time requests of other
   /// nodes that do not yield.
-  std::function<bool(const PlacementRequest& request)> yields;
+  std::function<bool(const PlacementRequest& request)> yields_to_peers;
   /// Returns whether callers that were promised a slot are expected to return about now. Newcomers
   /// of the lowest online priority then leave slots to them, at whichever node they return.
-  std::function<bool(const std::string& service)> returns_due;
+  std::function<bool(const std::string& service)> expects_booked_retries;
   /// Returns whether such a newcomer may yield: its service has no online requests of lower
   /// priority, and no tenant's share depends on who yields to whom.
-  std::function<bool(const PlacementRequest& request)> may_leave_to_returned;
+  std::function<bool(const PlacementRequest& request)> may_yield_to_booked_retries;
   /// Returns the fraction of a runner's slots that batch keeps free for returning callers.
-  std::function<double(const std::string& service, TimePoint now)> batch_leaves;
+  std::function<double(const std::string& service, TimePoint now)> batch_reserve_fraction;
   /// Returns whether waiting requests are currently checked for rejection.
-  std::function<bool()> reviews;
+  std::function<bool()> reviews_enabled;
   /// Returns the rejection of an online request that found no slot, or nothing if it may keep
   /// waiting.
   std::function<std::optional<PlacementRejection>(const PlacementRequest& request,
@@ -87,7 +89,7 @@
       review;
   /// Called when an arriving online request found no slot and starts to wait.
   std::function<void(const PlacementRequest& request, const QueuePosition& position, TimePoint now)>
-      waits;
+      on_queued;
 };
 
 /// Handle of one request in the queue, owned by the waiting caller. `cancel` ends the wait.
@@ -133,7 +135,7 @@
 
   void set_yield_handler(YieldHandler handler) { yield_handler_ = std::move(handler); }
   /// Returns the callbacks; each module sets its own.
-  [[nodiscard]] PlacementDecisions& decisions() { return policy_; }
+  [[nodiscard]] PlacementPolicy& placement_policy() { return policy_; }
 
   std::shared_ptr<PlacementTicket> make_ticket(PlacementRequest request);
   /// Waits for a slot.
@@ -143,14 +145,14 @@
   /// Must be called when a slot was taken or may have become free.
   void capacity_changed();
   /// Ends the wait of all requests whose `is_obsolete` returns true.
-  void drop_hopeless();
+  void drop_obsolete();
   /// Must be called when other nodes have reported their use of runners: a slot may have become
   /// free.
   void loads_changed();
   /// Asks batch work at a runner to give up a slot if the runner has more requests than slots.
   /// Called when an online request sent there has had no response for `yield_delay`.
   /// @return whether batch work was asked.
-  bool relieve(const Runner& runner);
+  bool preempt_if_overcommitted(const Runner& runner);
   /// Returns how long online work waits before batch work is asked for a slot, or for a further
   /// one.
   static Duration yield_delay(bool again);
@@ -159,7 +161,7 @@
   /// Returns the number of waiting requests of a class.
   [[nodiscard]] std::size_t waiting(WorkClass work) const;
   /// Returns the waiting online requests in the order of their placement.
-  [[nodiscard]] std::vector<WaitingWork> online_work(TimePoint now) const;
+  [[nodiscard]] std::vector<WaitingRequest> online_work(TimePoint now) const;
   /// Returns the amount of waiting online work that can still be on time.
   [[nodiscard]] std::map<ZoneBacklog::Group, QueuedWork> waiting_in_time(TimePoint now) const;
   /// Statistics of the online requests that wait for a service, for operators.
@@ -189,7 +191,9 @@
   void begin(const PlacementTicket& ticket, TimePoint now);
   [[nodiscard]] bool may_queue_at_runner(const PlacementRequest& request, TimePoint now) const;
   bool reject(PlacementTicket& ticket, const QueuePosition& position, TimePoint now);
-  [[nodiscard]] bool reviews() const { return policy_.reviews && policy_.reviews(); }
+  [[nodiscard]] bool reviews() const {
+    return policy_.reviews_enabled && policy_.reviews_enabled();
+  }
   struct WaitingTicket {
     std::shared_ptr<PlacementTicket> ticket;
     QueuePosition position;
@@ -211,7 +215,7 @@
   boost::asio::any_io_executor executor_;
   const RunnerRegistry& registry_;
   YieldHandler yield_handler_;
-  PlacementDecisions policy_;
+  PlacementPolicy policy_;
   std::function<void()> use_listener_;
   std::set<std::shared_ptr<PlacementTicket>, ByUrgency> waiting_;
   /// Time of the last unmet online demand for a service, at this node or another of the zone.
--- a/src/routing/placement_queue_views.cc
+++ b/src/routing/placement_queue_views.cc
@@ -9,7 +9,7 @@
 namespace {
 
 ZoneBacklog::Group backlog_group(const PlacementRequest& request) {
-  return {stable_hash(request.selection.service), saturated<std::uint8_t>(request.priority)};
+  return {stable_hash(request.selection.service), saturating_cast<std::uint8_t>(request.priority)};
 }
 
 }  // namespace
@@ -30,7 +30,7 @@
     if (can_be_in_time(request, now)) ++(yields_slots(request) ? demand.yielding : demand.waiting);
   }
   for (const auto& [service, time] : preempted_at_) {
-    if (now - time < kDemandShown) waiting.try_emplace(service);
+    if (now - time < kDemandReportDuration) waiting.try_emplace(service);
   }
   std::vector<ServiceDemand> demand;
   for (auto& [service, of_service] : waiting) {
@@ -40,8 +40,8 @@
   return demand;
 }
 
-std::vector<WaitingWork> PlacementQueue::online_work(TimePoint now) const {
-  std::vector<WaitingWork> work;
+std::vector<WaitingRequest> PlacementQueue::online_work(TimePoint now) const {
+  std::vector<WaitingRequest> work;
   for (const auto& ticket : waiting_) {
     const PlacementRequest& request = ticket->request_;
     if (!is_online(request) || ticket->cancelled_) continue;
@@ -114,7 +114,7 @@
     ServiceWait& wait = waits[request.selection.service];
     ++wait.waiting;
     wait.in_time += can_be_in_time(request, now) ? 1 : 0;
-    wait.returned += request.standing == AdmissionStanding::kReturned ? 1 : 0;
+    wait.returned += request.standing == AdmissionClass::kBookedRetry ? 1 : 0;
     wait.oldest = std::max(wait.oldest, now - request.arrival);
   }
   return waits;
--- a/src/routing/runner_errors.cc
+++ b/src/routing/runner_errors.cc
@@ -28,7 +28,7 @@
   (error ? own_.errors : own_.served).add(1, now);
 }
 
-void RunnerErrors::take_report(std::uint64_t node, const AnswerCounts& counts, TimePoint now) {
+void RunnerErrors::take_report(std::uint64_t node, const ResponseCounts& counts, TimePoint now) {
   if (reported_.size() >= kMaxNodes) {
     std::erase_if(reported_, [now](const auto& entry) {
       return entry.second.errors.value(now) < kNegligibleErrors;
@@ -39,13 +39,13 @@
   entry.served.set(counts.served, now);
 }
 
-std::optional<AnswerCounts> RunnerErrors::own_report(TimePoint now) const {
+std::optional<ResponseCounts> RunnerErrors::own_report(TimePoint now) const {
   const double errors = own_.errors.value(now);
   if (errors < kMinReportedErrors) return std::nullopt;
-  return AnswerCounts{errors, own_.served.value(now)};
+  return ResponseCounts{errors, own_.served.value(now)};
 }
 
-bool RunnerErrors::suspect(TimePoint now) const {
+bool RunnerErrors::has_high_error_rate(TimePoint now) const {
   double errors = own_.errors.value(now);
   double served = own_.served.value(now);
   for (const auto& [node, counts] : reported_) {
--- a/src/routing/runner_errors.h
+++ b/src/routing/runner_errors.h
@@ -12,7 +12,7 @@
 namespace stoathold {
 
 /// Recent responses of a runner to one node.
-struct AnswerCounts {
+struct ResponseCounts {
   double errors = 0;  ///< Errors of the runner itself.
   double served = 0;  ///< Complete responses.
 };
@@ -27,11 +27,11 @@
   /// Counts a response.
   void count(bool error, TimePoint now);
   /// Replaces the counts of another node by a new report.
-  void take_report(std::uint64_t node, const AnswerCounts& counts, TimePoint now);
+  void take_report(std::uint64_t node, const ResponseCounts& counts, TimePoint now);
   /// Returns this node's counts if they include errors worth reporting to other nodes.
-  [[nodiscard]] std::optional<AnswerCounts> own_report(TimePoint now) const;
+  [[nodiscard]] std::optional<ResponseCounts> own_report(TimePoint now) const;
   /// Returns whether the runner fails so many of its requests that it should be ejected.
-  [[nodiscard]] bool suspect(TimePoint now) const;
+  [[nodiscard]] bool has_high_error_rate(TimePoint now) const;
 
  private:
   struct Counts {
--- a/src/routing/runner_memory_estimate.cc
+++ b/src/routing/runner_memory_estimate.cc
@@ -22,12 +22,13 @@
   return now >= evidence_expiry_ || held_tokens_ + tokens < rejected_amount_;
 }
 
-RunnerHold::RunnerHold(std::shared_ptr<Runner> runner, std::uint32_t tokens)
+RunnerMemoryReservation::RunnerMemoryReservation(std::shared_ptr<Runner> runner,
+                                                 std::uint32_t tokens)
     : runner_(std::move(runner)), tokens_(tokens) {
   runner_->memory().add(tokens_);
 }
 
-RunnerHold::~RunnerHold() {
+RunnerMemoryReservation::~RunnerMemoryReservation() {
   runner_->memory().remove(tokens_);
 }
 
--- a/src/routing/runner_memory_estimate.h
+++ b/src/routing/runner_memory_estimate.h
@@ -36,12 +36,12 @@
 };
 
 /// Includes a request in a runner's memory estimate for the lifetime of this object.
-class RunnerHold {
+class RunnerMemoryReservation {
  public:
-  RunnerHold(std::shared_ptr<Runner> runner, std::uint32_t tokens);
-  ~RunnerHold();
-  RunnerHold(const RunnerHold&) = delete;
-  RunnerHold& operator=(const RunnerHold&) = delete;
+  RunnerMemoryReservation(std::shared_ptr<Runner> runner, std::uint32_t tokens);
+  ~RunnerMemoryReservation();
+  RunnerMemoryReservation(const RunnerMemoryReservation&) = delete;
+  RunnerMemoryReservation& operator=(const RunnerMemoryReservation&) = delete;
 
  private:
   std::shared_ptr<Runner> runner_;
--- a/src/routing/runner_registry.cc
+++ b/src/routing/runner_registry.cc
@@ -59,13 +59,13 @@
   backlog_tokens_ += tokens;
 }
 
-void Runner::prompt_read(std::uint32_t tokens) {
+void Runner::record_prompt_processed(std::uint32_t tokens) {
   backlog_tokens_ -= std::min(backlog_tokens_, tokens);
 }
 
 void Runner::end_attempt(AttemptOutcome outcome, TimePoint now, std::uint32_t unprocessed,
                          WorkClass work) {
-  prompt_read(unprocessed);
+  record_prompt_processed(unprocessed);
   --in_flight_;
   if (work == WorkClass::kBatch) --batch_in_flight_;
   switch (outcome) {
@@ -120,7 +120,7 @@
 /// a request.
 void Runner::record_error(TimePoint now) {
   errors_.count(true, now);
-  if (!suspect(now)) return;
+  if (!has_high_error_rate(now)) return;
   failures_ = std::max(failures_, peer_ejections_.failures(last_receive_time_, last_served_)) + 1;
   eject(now, true);
 }
@@ -147,14 +147,14 @@
   const bool own_failure = own_failure_is_current();
   const TimePoint peers_until =
       peer_ejections_.ejected_until(last_receive_time_, last_served_, own_failure);
-  if (now < peers_until || errors_.suspect(now)) return true;
+  if (now < peers_until || errors_.has_high_error_rate(now)) return true;
   const bool on_trial = own_failure || peers_until != TimePoint{};
   return on_trial && in_flight_ + peer_in_flight_ > 0;
 }
 
-void Runner::take_peer_ejection(const PeerEjection& ejection, TimePoint now) {
+void Runner::apply_peer_ejection(const PeerEjection& ejection, TimePoint now) {
   const bool before = ejected(now);
-  peer_ejections_.take(ejection, now);
+  peer_ejections_.add_report(ejection, now);
   if (before || !ejected(now)) return;
   log_event(Event::kRunnerEjectedByPeers, {{"runner", record_.id},
                                            {"address", record_.address},
@@ -170,13 +170,13 @@
                       .by_errors = failed_by_errors_};
 }
 
-void Runner::take_report(const LoadReport& report, TimePoint now) {
+void Runner::apply_load_report(const LoadReport& report, TimePoint now) {
   report_ = report;
   report_time_ = now;
   known_in_flight_at_report_ = in_flight_ + peer_in_flight_ + lent_;
 }
 
-void Runner::take_zone_load(double load, TimePoint now) {
+void Runner::apply_zone_load(double load, TimePoint now) {
   zone_load_ = load;
   zone_load_time_ = now;
   own_in_flight_at_zone_load_ = in_flight_;
@@ -335,7 +335,7 @@
   std::vector<Runner*> usable;
   const auto name = service_names_.find(service);
   if (name == service_names_.end()) return usable;
-  for (const auto& runner : of_service(name->second)) {
+  for (const auto& runner : runners_of_service(name->second)) {
     if (runner->record().zone == zone && runner->usable(now)) usable.push_back(runner.get());
   }
   return usable;
@@ -354,18 +354,18 @@
   return !peer_yielding_demand_.empty() && peer_yielding_demand_.contains(stable_hash(service));
 }
 
-Runner* RunnerRegistry::find_hash(std::uint64_t hash) const {
+Runner* RunnerRegistry::find_by_hash(std::uint64_t hash) const {
   const auto found = by_hash_.find(hash);
   return found == by_hash_.end() ? nullptr : found->second;
 }
 
-std::optional<TimePoint> RunnerRegistry::last_heard(std::uint64_t hash) const {
-  const Runner* runner = find_hash(hash);
-  const bool has_received = runner != nullptr && runner->last_heard() != TimePoint{};
-  return has_received ? std::optional(runner->last_heard()) : std::nullopt;
+std::optional<TimePoint> RunnerRegistry::last_receive_time(std::uint64_t hash) const {
+  const Runner* runner = find_by_hash(hash);
+  const bool has_received = runner != nullptr && runner->last_receive_time() != TimePoint{};
+  return has_received ? std::optional(runner->last_receive_time()) : std::nullopt;
 }
 
-const std::vector<std::shared_ptr<Runner>>& RunnerRegistry::of_service(
+const std::vector<std::shared_ptr<Runner>>& RunnerRegistry::runners_of_service(
     const std::string& service) const {
   static const std::vector<std::shared_ptr<Runner>> kNone;
   const auto found = by_service_.find(service);
--- a/src/routing/runner_registry.h
+++ b/src/routing/runner_registry.h
@@ -30,7 +30,7 @@
   std::string zone;
   std::uint32_t slots = 1;
   bool draining = false;
-  std::optional<RunnerStart> start = std::nullopt;  ///< Empty if the runner does not report it.
+  std::optional<RunnerStartTime> start = std::nullopt;  ///< Empty if the runner does not report it.
 
   [[nodiscard]] RunnerIdentity identity() const { return {id, start}; }
 };
@@ -43,7 +43,7 @@
   /// Time that work currently takes there in percent of the usual time; empty if not reported.
   std::optional<std::uint32_t> slowness_percent = std::nullopt;
   /// The runner reported a slowness that is out of range or malformed.
-  bool false_slowness = false;
+  bool invalid_slowness = false;
 };
 
 /// Online work takes precedence over batch work, however long the batch work has waited.
@@ -86,17 +86,17 @@
   /// @param tokens prompt tokens that the runner is expected to process for it.
   void begin_attempt(std::uint32_t tokens = 0, WorkClass work = WorkClass::kOnline);
   /// Must be called when the response to an attempt begins: the runner has processed its prompt.
-  void prompt_read(std::uint32_t tokens);
+  void record_prompt_processed(std::uint32_t tokens);
   /// Ends an attempt and updates the runner's health by its outcome.
   /// @param unprocessed tokens passed to `begin_attempt` that the runner has not processed.
   void end_attempt(AttemptOutcome outcome, TimePoint now, std::uint32_t unprocessed = 0,
                    WorkClass work = WorkClass::kOnline);
   /// Applies a load report of the runner.
-  void take_report(const LoadReport& report, TimePoint now);
+  void apply_load_report(const LoadReport& report, TimePoint now);
   /// Records that bytes were received from the runner.
-  void heard(TimePoint now) { last_receive_time_ = now; }
+  void record_receive(TimePoint now) { last_receive_time_ = now; }
   /// Returns when bytes were last received from it, for any request of this node.
-  [[nodiscard]] TimePoint last_heard() const { return last_receive_time_; }
+  [[nodiscard]] TimePoint last_receive_time() const { return last_receive_time_; }
   /// Records that the runner announced its shutdown.
   void mark_leaving() { leaving_ = true; }
 
@@ -108,18 +108,18 @@
   /// Returns whether it may receive new work now.
   [[nodiscard]] bool usable(TimePoint now) const { return available() && !ejected(now); }
   /// Applies another node's report of failed attempts at this runner.
-  void take_peer_ejection(const PeerEjection& ejection, TimePoint now);
+  void apply_peer_ejection(const PeerEjection& ejection, TimePoint now);
   /// Applies another node's counts of responses from this runner.
-  void take_answer_counts(std::uint64_t node, const AnswerCounts& counts, TimePoint now) {
+  void apply_peer_response_counts(std::uint64_t node, const ResponseCounts& counts, TimePoint now) {
     errors_.take_report(node, counts, now);
   }
   /// Returns this node's counts of responses from it if they are worth reporting to other nodes.
-  [[nodiscard]] std::optional<AnswerCounts> answer_counts(TimePoint now) const {
+  [[nodiscard]] std::optional<ResponseCounts> own_response_counts(TimePoint now) const {
     return errors_.own_report(now);
   }
   /// Returns whether it fails a large part of its requests although it responds.
-  [[nodiscard]] bool suspect(TimePoint now) const {
-    return errors_.suspect(now) || (failed_by_errors_ && own_failure_is_current());
+  [[nodiscard]] bool has_high_error_rate(TimePoint now) const {
+    return errors_.has_high_error_rate(now) || (failed_by_errors_ && own_failure_is_current());
   }
   /// Returns the ejection caused by this node's own failed attempts, to be reported to other nodes,
   /// or nothing if there is none.
@@ -174,7 +174,7 @@
   }
   /// Applies the load reported by nodes of the runner's own zone, which know it best.
   /// @param load requests per slot.
-  void take_zone_load(double load, TimePoint now);
+  void apply_zone_load(double load, TimePoint now);
   /// Returns whether such a report is recent.
   [[nodiscard]] bool zone_load_known(TimePoint now) const;
   /// Applies changes to the use by the other nodes of the zone.
@@ -255,7 +255,7 @@
   /// Replaces the set of runners by the directory's complete list.
   void replace_all(std::vector<RunnerRecord> records);
 
-  [[nodiscard]] const std::vector<std::shared_ptr<Runner>>& of_service(
+  [[nodiscard]] const std::vector<std::shared_ptr<Runner>>& runners_of_service(
       const std::string& service) const;
   /// Returns the runners of a zone that may receive work for a service.
   /// @param service hash of its name.
@@ -265,10 +265,10 @@
     return runners_;
   }
   /// Returns the incarnation with this hash, or null. Valid until the registry changes.
-  [[nodiscard]] Runner* find_hash(std::uint64_t hash) const;
+  [[nodiscard]] Runner* find_by_hash(std::uint64_t hash) const;
   /// Returns when bytes were last received from the incarnation with this hash, or nothing if it is
   /// not listed or has sent none.
-  [[nodiscard]] std::optional<TimePoint> last_heard(std::uint64_t hash) const;
+  [[nodiscard]] std::optional<TimePoint> last_receive_time(std::uint64_t hash) const;
   /// Returns a number that grows whenever runners are added or removed.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
   /// Sets the services, by hash of their names, for which online work waits at other nodes of the
--- a/src/routing/runner_selector.cc
+++ b/src/routing/runner_selector.cc
@@ -165,13 +165,13 @@
   std::erase_if(candidates, [&](const Candidate& candidate) {
     const std::uint64_t runner = candidate.runner->hash();
     if (candidate.load >= request.load_limit) {
-      request.turns->record_no_free_slot(runner);
+      request.batch_arbiter->record_no_free_slot(runner);
       return true;
     }
     if (candidate.runner->record().zone == request.zone) {
-      return !request.turns->may_take(service, request.urgency, runner, now);
+      return !request.batch_arbiter->may_use_runner(service, request.urgency, runner, now);
     }
-    return !request.turns->is_first_in_order(service, request.urgency, runner, now);
+    return !request.batch_arbiter->is_first_in_order(service, request.urgency, runner, now);
   });
 }
 
@@ -191,7 +191,7 @@
 
 void compute_costs(std::vector<Candidate>& candidates, const SelectionRequest& request) {
   const Runner* warm = warm_runner(candidates, request);
-  const std::uint32_t shared = std::min(request.shared_tokens, request.prompt_tokens);
+  const std::uint32_t shared = std::min(request.shared_prefix_tokens, request.prompt_tokens);
   for (auto& candidate : candidates) {
     candidate.warm = candidate.runner.get() == warm;
     candidate.uncached_prompt_tokens = request.prompt_tokens - (candidate.warm ? shared : 0);
@@ -221,7 +221,8 @@
     const RunnerWork work{.pending_prompt_tokens = static_cast<double>(
                               runner.total_backlog() + candidate.uncached_prompt_tokens),
                           .load = candidate.load};
-    candidate.expected = request.speeds->expected(request.needs.route, runner.speed(), work, now);
+    candidate.expected =
+        request.speeds->expected(request.latency_objectives.route, runner.speed(), work, now);
     candidate.cost = static_cast<double>(candidate.expected->first_event.count());
   }
 }
@@ -230,7 +231,7 @@
 void keep_most_timely(std::vector<Candidate>& candidates, const SelectionRequest& request,
                       TimePoint now) {
   const auto timeliness = [&](const Candidate& candidate) {
-    return online_timeliness(*candidate.expected, request.needs, now);
+    return online_timeliness(*candidate.expected, request.latency_objectives, now);
   };
   const auto best = std::min_element(candidates.begin(), candidates.end(),
                                      [&](const Candidate& left, const Candidate& right) {
@@ -257,17 +258,18 @@
     if (!low || candidate.cost > least_cost + kConnectionReuseMaxCost) continue;
     if (preferred == nullptr || rank(candidate) > rank(*preferred)) preferred = &candidate;
     if (connected != nullptr && connected->cost <= candidate.cost) continue;
-    if (request.connected && request.connected(*candidate.runner)) connected = &candidate;
+    if (request.has_reusable_connection && request.has_reusable_connection(*candidate.runner))
+      connected = &candidate;
   }
   return connected != nullptr ? connected : preferred;
 }
 
 /// Drops the runners without a reusable connection, unless none has one.
 void prefer_connected(std::vector<const Candidate*>& candidates, const SelectionRequest& request) {
-  if (!request.connected) return;
+  if (!request.has_reusable_connection) return;
   std::vector<const Candidate*> connected;
   for (const Candidate* candidate : candidates) {
-    if (request.connected(*candidate->runner)) connected.push_back(candidate);
+    if (request.has_reusable_connection(*candidate->runner)) connected.push_back(candidate);
   }
   if (!connected.empty()) candidates = std::move(connected);
 }
@@ -277,7 +279,7 @@
   const auto least = std::min_element(
       candidates.begin(), candidates.end(),
       [](const Candidate& left, const Candidate& right) { return left.cost < right.cost; });
-  if (request.keep_connections) {
+  if (request.prefer_reusable_connections) {
     const Candidate* kept = sticky_runner(candidates, request, least->cost);
     if (kept != nullptr) return *kept;
   }
@@ -303,11 +305,11 @@
   const Candidate& left = candidates[first];
   const Candidate& right = candidates[second < first || others == 0 ? second : second + 1];
   const Candidate& better = left.cost <= right.cost ? left : right;
-  if (!request.connected) return better;
+  if (!request.has_reusable_connection) return better;
   const double max_cost = better.cost * (1 + kConnectionReuseBonus);
   std::vector<const Candidate*> connected;
   for (const Candidate& candidate : candidates) {
-    if (candidate.cost > max_cost || !request.connected(*candidate.runner)) continue;
+    if (candidate.cost > max_cost || !request.has_reusable_connection(*candidate.runner)) continue;
     connected.push_back(&candidate);
   }
   return connected.empty() ? better : *connected[process_random().below(connected.size())];
@@ -326,7 +328,7 @@
 Selection select_runner(const RunnerRegistry& registry, const SelectionRequest& request,
                         TimePoint now) {
   Selection selection;
-  const auto& runners = registry.of_service(request.service);
+  const auto& runners = registry.runners_of_service(request.service);
   std::vector<Candidate> candidates = collect_candidates(runners, request, now);
   if (candidates.empty()) {
     selection.failure =
@@ -336,7 +338,7 @@
   if (request.speeds != nullptr && request.work == WorkClass::kOnline)
     drop_latency_outliers(candidates, now);
   if (request.preempt_batch) keep_preemptible(candidates, request.zone);
-  if (request.turns != nullptr) keep_assigned(candidates, request, now);
+  if (request.batch_arbiter != nullptr) keep_assigned(candidates, request, now);
   if (request.load_limit > 0) {
     std::erase_if(candidates, [&](const Candidate& candidate) {
       return candidate.load >= request.load_limit && !has_borrowed_slot(candidate, request, now);
@@ -359,7 +361,7 @@
   const Candidate& chosen =
       request.speeds == nullptr ? lowest_cost(local, request) : choose_by_time(local, request, now);
   selection.runner = chosen.runner;
-  selection.tokens_to_read = chosen.uncached_prompt_tokens;
+  selection.uncached_prompt_tokens = chosen.uncached_prompt_tokens;
   selection.load = chosen.load;
   selection.backlog_tokens = chosen.runner->total_backlog();
   selection.warm = chosen.warm;
--- a/src/routing/runner_selector.h
+++ b/src/routing/runner_selector.h
@@ -26,10 +26,11 @@
 /// The inputs of a selection.
 struct SelectionRequest {
   std::string service;
-  std::string zone;                     ///< Zone of this node, whose runners are preferred.
-  std::uint64_t affinity_key = 0;       ///< Hash of the shared prompt prefix; 0: none.
-  std::uint32_t prompt_tokens = 0;      ///< Of the whole prompt.
-  std::uint32_t shared_tokens = 0;      ///< Of its shared prefix, which a warm runner has cached.
+  std::string zone;                 ///< Zone of this node, whose runners are preferred.
+  std::uint64_t affinity_key = 0;   ///< Hash of the shared prompt prefix; 0: none.
+  std::uint32_t prompt_tokens = 0;  ///< Of the whole prompt.
+  std::uint32_t shared_prefix_tokens =
+      0;                                ///< Of its shared prefix, which a warm runner has cached.
   double load_limit = 0;                ///< Runners at or above this load are skipped; 0: no limit.
   std::vector<std::uint64_t> excluded;  ///< `Runner::hash` of the runners tried before.
   /// Use runners of other zones only with borrowed slots.
@@ -40,16 +41,17 @@
   /// such a one is preferred: a new connection costs a round trip, occupies one of the runner's
   /// slots for a moment, and counts against the few connections that a runner allows. Null: no
   /// connections to reuse.
-  std::function<bool(const Runner&)> connected;
+  std::function<bool(const Runner&)> has_reusable_connection;
   /// Latency predictions. Null: runners are selected by load alone.
   const SpeedModel* speeds = nullptr;
-  WorkClass work = WorkClass::kOnline;  ///< Used only if `speeds` is set.
-  LatencyObjectives needs;              ///< Used only if `speeds` is set.
+  WorkClass work = WorkClass::kOnline;   ///< Used only if `speeds` is set.
+  LatencyObjectives latency_objectives;  ///< Used only if `speeds` is set.
   /// Batch: decides which node may use which runner. Null: this node may use all runners.
-  BatchTurns* turns = nullptr;
+  BatchArbiter* batch_arbiter = nullptr;
   ItemUrgency urgency = ItemUrgency::kInTime;  ///< Used only with `batch_arbiter`.
-  bool keep_connections = false;  ///< Prefer a reusable connection to a slightly lower load.
-  std::uint64_t node = 0;         ///< This node; determines which few runners it prefers.
+  bool prefer_reusable_connections =
+      false;               ///< Prefer a reusable connection to a slightly lower load.
+  std::uint64_t node = 0;  ///< This node; determines which few runners it prefers.
 };
 
 /// Why no runner was selected.
@@ -64,7 +66,8 @@
 struct Selection {
   std::shared_ptr<Runner> runner;  ///< Null if none was found.
   SelectionFailure failure = SelectionFailure::kNone;
-  std::uint32_t tokens_to_read = 0;  ///< Prompt tokens that the runner is expected to process.
+  std::uint32_t uncached_prompt_tokens =
+      0;                             ///< Prompt tokens that the runner is expected to process.
   std::uint32_t candidates = 0;      ///< Number of runners to choose from.
   double load = 0;                   ///< Load of the runner before this request.
   std::uint32_t backlog_tokens = 0;  ///< Unprocessed prompt tokens there before this request.
@@ -73,7 +76,7 @@
 
   /// Returns the load-dependent inputs of the latency prediction.
   [[nodiscard]] RunnerWork runner_work() const {
-    return {.pending_prompt_tokens = static_cast<double>(backlog_tokens + tokens_to_read),
+    return {.pending_prompt_tokens = static_cast<double>(backlog_tokens + uncached_prompt_tokens),
             .load = load};
   }
 };
--- a/src/routing/runner_speed.cc
+++ b/src/routing/runner_speed.cc
@@ -56,7 +56,7 @@
 constexpr double kResponseCountScale = 10;
 
 std::uint8_t in_tenths(double count) {
-  return saturated<std::uint8_t>(static_cast<std::int64_t>(count * kResponseCountScale));
+  return saturating_cast<std::uint8_t>(static_cast<std::int64_t>(count * kResponseCountScale));
 }
 
 double to_ms(Duration duration) {
@@ -79,7 +79,7 @@
 
 }  // namespace
 
-void RunnerSpeed::take_slowness(std::uint32_t percent, TimePoint reported, bool own) {
+void RunnerSpeed::apply_slowness_report(std::uint32_t percent, TimePoint reported, bool own) {
   if (own) {
     own_percent_ = percent;
     own_reported_at_ = reported;
@@ -134,11 +134,11 @@
   SpeedReport report{.runner = runner};
   if (own_reported_at_ != TimePoint{}) {
     report.slowness_percent = static_cast<std::uint16_t>(own_percent_);
-    report.slowness_age_ms = saturated_milliseconds(now - own_reported_at_);
+    report.slowness_age_ms = saturating_milliseconds(now - own_reported_at_);
   }
   const double parts = std::exp(log_relative_time_) * kRelativeTimeScale;
-  report.relative_time = saturated<std::uint16_t>(static_cast<std::int64_t>(parts));
-  report.samples = saturated<std::uint8_t>(samples_);
+  report.relative_time = saturating_cast<std::uint16_t>(static_cast<std::int64_t>(parts));
+  report.samples = saturating_cast<std::uint8_t>(samples_);
   const OutlierCounts responses = latency_outliers_.own(now);
   report.outlier_responses = in_tenths(responses.outliers);
   report.normal_responses = in_tenths(responses.normal);
@@ -191,26 +191,26 @@
   return routes_[route];
 }
 
-void SpeedModel::take_slowness(RunnerSpeed& runner, std::uint32_t percent, TimePoint reported,
-                               bool own) {
-  runner.take_slowness(percent, reported, own);
+void SpeedModel::apply_slowness_report(RunnerSpeed& runner, std::uint32_t percent,
+                                       TimePoint reported, bool own) {
+  runner.apply_slowness_report(percent, reported, own);
   const double slowness = percent / kPercent;
   mean_slowness_ += (slowness - mean_slowness_) * kMeanSlownessStep;
   peak_slowness_ +=
       (slowness - peak_slowness_) * (slowness > peak_slowness_ ? 1 : kPeakSlownessDecay);
 }
 
-bool SpeedModel::take(RunnerSpeed& runner, const SpeedReport& report, TimePoint now) {
+bool SpeedModel::apply_report(RunnerSpeed& runner, const SpeedReport& report, TimePoint now) {
   if (report.relative_time > 0) {
     runner.apply_peer_relative_time(report.relative_time / kRelativeTimeScale, report.samples);
   }
   runner.latency_outliers().take_report({report.outlier_responses / kResponseCountScale,
                                          report.normal_responses / kResponseCountScale},
                                         now);
-  if (!is_true_slowness(report.slowness_percent)) return false;
+  if (!is_valid_slowness(report.slowness_percent)) return false;
   const Duration age = std::chrono::milliseconds(report.slowness_age_ms);
   if (now - age > runner.reported_at()) {
-    take_slowness(runner, report.slowness_percent, now - age, false);
+    apply_slowness_report(runner, report.slowness_percent, now - age, false);
   }
   return true;
 }
--- a/src/routing/runner_speed.h
+++ b/src/routing/runner_speed.h
@@ -19,14 +19,14 @@
 
 /// Least slowness that a runner may report, in percent of the usual time: ten times as fast. A
 /// smaller one would let a single false report attract all work to a runner.
-inline constexpr std::uint32_t kLeastSlownessPercent = 10;
+inline constexpr std::uint32_t kMinSlownessPercent = 10;
 /// Greatest slowness that a runner may report: one second of work takes 50. A slower runner does
 /// not differ from one that hangs, for which there are timeouts.
-inline constexpr std::uint32_t kMostSlownessPercent = 5000;
+inline constexpr std::uint32_t kMaxSlownessPercent = 5000;
 
 /// Returns whether a reported slowness is in range.
-constexpr bool is_true_slowness(std::uint64_t percent) {
-  return percent >= kLeastSlownessPercent && percent <= kMostSlownessPercent;
+constexpr bool is_valid_slowness(std::uint64_t percent) {
+  return percent >= kMinSlownessPercent && percent <= kMaxSlownessPercent;
 }
 
 /// The load-dependent inputs of a latency prediction.
@@ -51,7 +51,7 @@
   /// @param reported time of the report; reports older than the last one are ignored.
   /// @param own whether this node received it from the runner, and should share it with other
   /// nodes.
-  void take_slowness(std::uint32_t percent, TimePoint reported, bool own);
+  void apply_slowness_report(std::uint32_t percent, TimePoint reported, bool own);
   /// Returns the current time of work there as a multiple of the usual time. The last report fades
   /// with its age to the runner's own mean, since runners that are slower by design always report
   /// more.
@@ -69,7 +69,7 @@
   [[nodiscard]] SpeedReport report(std::uint64_t runner, TimePoint now) const;
   /// Returns whether this node has received a slowness report that it has not shared yet. The
   /// learned time changes slowly and is shared along with it.
-  [[nodiscard]] bool unshared() const { return unshared_; }
+  [[nodiscard]] bool has_unshared_report() const { return unshared_; }
   void mark_shared() { unshared_ = false; }
   /// Returns the tracker of responses slower than all of this predicts.
   [[nodiscard]] LatencyOutliers& latency_outliers() { return latency_outliers_; }
@@ -122,10 +122,11 @@
 class SpeedModel {
  public:
   /// Applies a slowness that the runner reported to this node or another one.
-  void take_slowness(RunnerSpeed& runner, std::uint32_t percent, TimePoint reported, bool own);
+  void apply_slowness_report(RunnerSpeed& runner, std::uint32_t percent, TimePoint reported,
+                             bool own);
   /// Applies another node's report of a runner and ignores invalid values in it.
   /// @return whether it holds a valid slowness reported by the runner.
-  bool take(RunnerSpeed& runner, const SpeedReport& report, TimePoint now);
+  bool apply_report(RunnerSpeed& runner, const SpeedReport& report, TimePoint now);
 
   /// Learns from the time to the first event of a response.
   void observe_first_event(std::uint64_t route, RunnerSpeed& runner, const RunnerWork& work,
--- a/src/routing/slot_exchange.cc
+++ b/src/routing/slot_exchange.cc
@@ -89,13 +89,13 @@
 void SlotExchange::publish_borrowed() {
   borrower_.for_each(
       [this](std::uint64_t hash, std::uint16_t slots, TimePoint expires_at, bool reclaiming) {
-        Runner* runner = registry_.find_hash(hash);
+        Runner* runner = registry_.find_by_hash(hash);
         if (runner != nullptr) runner->set_borrowed(slots, expires_at, reclaiming);
       });
 }
 
 std::uint32_t SlotExchange::online_in_flight_at(std::uint64_t runner) const {
-  const Runner* found = registry_.find_hash(runner);
+  const Runner* found = registry_.find_by_hash(runner);
   return found == nullptr ? 0 : found->online_in_flight();
 }
 
@@ -109,8 +109,8 @@
 
 SlotExchange::SlotDeficit SlotExchange::largest_deficit(TimePoint now) const {
   if (!registry_.lending()) return {};
-  std::map<std::uint64_t, std::vector<WaitingWork>> by_service;
-  for (const WaitingWork& work : callbacks_.waiting_requests(now))
+  std::map<std::uint64_t, std::vector<WaitingRequest>> by_service;
+  for (const WaitingRequest& work : callbacks_.waiting_requests(now))
     by_service[work.service].push_back(work);
   SlotDeficit largest;
   for (const auto& [service, waiting] : by_service) {
@@ -133,13 +133,13 @@
     const std::uint32_t spare = borrower_.is_reclaiming(zone) ? 0 : deficit.slots;
     auto returned = borrower_.return_unused(zone, in_flight_at, spare, now);
     if (returned) {
-      returned->pass_on = true;
+      returned->forward = true;
       callbacks_.send_to_zone(zone, *returned);
     }
     const std::uint16_t uncovered = borrower_.uncovered_slots(deficit.slots, in_flight_at, now);
     auto request = borrower_.next_request(zone, deficit.service, uncovered, now);
     if (!request) continue;
-    request->pass_on = true;
+    request->forward = true;
     request->origin = callbacks_.address;
     callbacks_.send_to_zone(zone, *request);
   }
@@ -169,11 +169,11 @@
 void SlotExchange::handle(const SlotLoanRequest& request, TimePoint now) {
   detect_suspension(now);
   last_request_at_ = now;
-  if (!request.pass_on) return answer_request(request, now);
+  if (!request.forward) return answer_request(request, now);
   const std::vector<LendingNode> nodes = callbacks_.lending_nodes();
   for (std::size_t index = 0; index < nodes.size(); ++index) {
     SlotLoanRequest partial = request;
-    partial.pass_on = false;
+    partial.forward = false;
     partial.slots = slots_of_lender(request.slots, index, nodes.size(), request.sequence);
     if (nodes[index].self) {
       answer_request(partial, now);
@@ -187,9 +187,9 @@
   detect_suspension(now);
   lender_.handle_return(returned);
   publish_lent();
-  if (!returned.pass_on) return;
+  if (!returned.forward) return;
   SlotLoanReturn copy = returned;
-  copy.pass_on = false;
+  copy.forward = false;
   for (const LendingNode& node : callbacks_.lending_nodes()) {
     if (!node.self) callbacks_.send_to_node(node.address, copy);
   }
@@ -227,8 +227,9 @@
   if (!lender_.has_runners()) return;
   const bool lacks_slots =
       registry_.peers_waiting(request.service) > 0 ||
-      std::ranges::any_of(callbacks_.waiting_requests(now),
-                          [&](const WaitingWork& work) { return work.service == request.service; });
+      std::ranges::any_of(callbacks_.waiting_requests(now), [&](const WaitingRequest& work) {
+        return work.service == request.service;
+      });
   const std::uint64_t lent_before = lender_.counts().lent;
   const bool may_grant = request.slots > 0 && !lacks_slots;
   const auto offered =
@@ -244,7 +245,7 @@
 void SlotExchange::preempt_batch(const SlotLoanRequest& request, const SlotLoan& loan,
                                  TimePoint now) {
   for (const RunnerSlots& lent : loan.slots) {
-    const Runner* runner = registry_.find_hash(lent.runner);
+    const Runner* runner = registry_.find_by_hash(lent.runner);
     if (runner == nullptr) continue;
     const bool granted = lent.slots > slots_at(request.held, lent.runner);
     if (!granted || free_slots(*runner, now) > 0 || runner->preemptible() == 0) continue;
@@ -256,7 +257,7 @@
 std::vector<ServiceDemand> SlotExchange::demand(TimePoint now) const {
   std::vector<ServiceDemand> demand;
   for (const auto& [service, time] : preempted_at_) {
-    if (now - time < kDemandShown) demand.push_back({service, 0});
+    if (now - time < kDemandReportDuration) demand.push_back({service, 0});
   }
   return demand;
 }
--- a/src/routing/slot_exchange.h
+++ b/src/routing/slot_exchange.h
@@ -39,7 +39,7 @@
   /// Requests that a batch item at the runner release its slot.
   std::function<void(const Runner& runner)> yield;
   /// Returns the online requests that wait at this node, in placement order.
-  std::function<std::vector<WaitingWork>(TimePoint now)> waiting_requests;
+  std::function<std::vector<WaitingRequest>(TimePoint now)> waiting_requests;
 };
 
 /// Counters of a `SlotExchange`.
--- a/src/routing/slot_loan_messages.h
+++ b/src/routing/slot_loan_messages.h
@@ -37,11 +37,11 @@
   std::vector<RunnerSlots> held;  ///< All slots that the borrower holds in the zone, for any
                                   ///< service.
   std::string origin;             ///< `ip:port` of the borrower, to which the loan is sent.
-  bool pass_on = false;           ///< The receiver forwards the request to the lenders of its zone.
+  bool forward = false;           ///< The receiver forwards the request to the lenders of its zone.
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(service, borrower, sequence, slots, held, origin, pass_on);
+    archive(service, borrower, sequence, slots, held, origin, forward);
   }
 };
 
@@ -65,11 +65,11 @@
   std::uint64_t borrower = 0;
   std::uint64_t sequence = 0;  ///< Increases with each request and each return of a borrower.
   std::vector<RunnerSlots> slots;
-  bool pass_on = false;  ///< The receiver forwards the return to the lenders of its zone.
+  bool forward = false;  ///< The receiver forwards the return to the lenders of its zone.
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(borrower, sequence, slots, pass_on);
+    archive(borrower, sequence, slots, forward);
   }
 };
 
--- a/src/routing/slot_loans.cc
+++ b/src/routing/slot_loans.cc
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-std::uint16_t slots_to_borrow(const std::vector<WaitingWork>& waiting, const ZoneCapacity& capacity,
-                              Duration round_trip_time) {
+std::uint16_t slots_to_borrow(const std::vector<WaitingRequest>& waiting,
+                              const ZoneCapacity& capacity, Duration round_trip_time) {
   if (waiting.empty()) return 0;
   const auto own_requests = static_cast<double>(waiting.size());
   const double zone_requests_per_own_request =
@@ -26,7 +26,7 @@
   const Duration transit_time = round_trip_time * 3 / 2;
   std::uint16_t count = 0;
   double queue_position = 0;
-  for (const WaitingWork& work : waiting) {
+  for (const WaitingRequest& work : waiting) {
     queue_position += zone_requests_per_own_request;
     const bool unpredictable = capacity.slots <= 0 || work.slot_time.count() == 0;
     const Duration wait =
@@ -90,7 +90,7 @@
   if (request.slots > 0 && granted == 0) ++counts_.refused;
   loan.response = {.lender = self_,
                    .sequence = request.sequence,
-                   .lifetime_ms = saturated_milliseconds(kLoanLifetime),
+                   .lifetime_ms = saturating_milliseconds(kLoanLifetime),
                    .reclaiming = reclaiming};
   for (const auto& [runner, slots] : loan.slots) loan.response.slots.push_back({runner, slots});
   return loan.response;
--- a/src/routing/slot_loans.h
+++ b/src/routing/slot_loans.h
@@ -34,7 +34,7 @@
 inline constexpr Duration kLoanReclaimedBackoff = std::chrono::milliseconds(100);
 
 /// An online request that waits for a slot.
-struct WaitingWork {
+struct WaitingRequest {
   std::uint64_t service = 0;  ///< Hash of the service's name.
   Duration slack{0};  ///< Time left to place the request before it misses its deadline; negative if
                       ///< it is late already.
@@ -52,8 +52,8 @@
 /// the prediction; obtaining the loan and sending the request to the other zone take time as well.
 /// @param waiting requests for one service, in placement order.
 /// @param round_trip_time of a loan request.
-std::uint16_t slots_to_borrow(const std::vector<WaitingWork>& waiting, const ZoneCapacity& capacity,
-                              Duration round_trip_time);
+std::uint16_t slots_to_borrow(const std::vector<WaitingRequest>& waiting,
+                              const ZoneCapacity& capacity, Duration round_trip_time);
 
 /// Counters of a lender since its start.
 struct LenderCounts {
--- a/src/routing/speed_summary.h
+++ b/src/routing/speed_summary.h
@@ -10,23 +10,24 @@
 
 /// Accumulates one runner at a time.
 struct SpeedSummary {
-  double most_slowness = 0;         ///< Reported multiple of the usual time; 0: no report.
-  double slow_runners = 0;          ///< Runners slower than `kSlow`.
-  double greatest_age_seconds = 0;  ///< Of the last reports, over the runners that have reported.
-  double least_relative_time = 1;   ///< Learned time relative to the mean runner.
-  double most_relative_time = 1;
+  double max_slowness = 0;            ///< Reported multiple of the usual time; 0: no report.
+  double slow_runners = 0;            ///< Runners slower than `kSlow`.
+  double max_report_age_seconds = 0;  ///< Of the last reports, over the runners that have reported.
+  double min_relative_time = 1;       ///< Learned time relative to the mean runner.
+  double max_relative_time = 1;
 
   /// Multiple of the usual time above which a runner counts as slow.
   static constexpr double kSlow = 1.5;
 
   void add(const RunnerSpeed& runner, TimePoint now) {
-    least_relative_time = std::min(least_relative_time, runner.relative_time());
-    most_relative_time = std::max(most_relative_time, runner.relative_time());
+    min_relative_time = std::min(min_relative_time, runner.relative_time());
+    max_relative_time = std::max(max_relative_time, runner.relative_time());
     if (runner.reported_at() == TimePoint{}) return;
     const double slowness = runner.slowness(1, now);
-    most_slowness = std::max(most_slowness, slowness);
+    max_slowness = std::max(max_slowness, slowness);
     if (slowness > kSlow) ++slow_runners;
-    greatest_age_seconds = std::max(greatest_age_seconds, to_seconds(now - runner.reported_at()));
+    max_report_age_seconds =
+        std::max(max_report_age_seconds, to_seconds(now - runner.reported_at()));
   }
 };
 
--- a/src/server/metrics.cc
+++ b/src/server/metrics.cc
@@ -62,8 +62,8 @@
   set_counter(registry, "stoathold_batch_finished_total", "Batch streams finished.",
               counters.finished);
   set_counter(registry, "stoathold_batch_yielded_total", "Batch streams paused for online work.",
-              counters.yielded);
-  for (const auto& statistics : core.batch().figures()) {
+              counters.preempted);
+  for (const auto& statistics : core.batch().statistics()) {
     const auto view = core.runners().find(statistics.runner);
     const prometheus::Labels labels{{"runner", view ? view->listed.name : "unknown"}};
     set_gauge(registry, "stoathold_runner_online_streams", "Online streams at an owned runner.",
--- a/src/server/node_server.cc
+++ b/src/server/node_server.cc
@@ -56,9 +56,9 @@
     workers.emplace_back([&context] { context.run(); });
   }
   // SIGHUP stays blocked: this process does not reload its settings.
-  heed_signals({SIGTERM, SIGINT});
+  unblock_signals({SIGTERM, SIGINT});
   context.run();
-  hold_signals();
+  block_signals();
   for (auto& worker : workers) worker.join();
 }
 
--- a/src/server/node_state_logger.cc
+++ b/src/server/node_state_logger.cc
@@ -35,7 +35,7 @@
 }
 
 void NodeStateLogger::log_lease_changes(NodeCore& core) {
-  for (const auto& statistics : core.shards().figures()) {
+  for (const auto& statistics : core.shards().statistics()) {
     auto& owned = logged_ownership_[statistics.shard];
     if (owned == statistics.owned) continue;
     owned = statistics.owned;
--- a/src/server/operator_api.cc
+++ b/src/server/operator_api.cc
@@ -303,7 +303,7 @@
 
 json::array shards_json(NodeRuntime& runtime) {
   json::array shards;
-  for (const auto& statistics : runtime.core().shards().figures()) {
+  for (const auto& statistics : runtime.core().shards().statistics()) {
     shards.push_back(json::object{{"shard", value_of(statistics.shard)},
                                   {"owned", statistics.owned},
                                   {"epoch", value_of(statistics.epoch)},
--- a/src/store/adaptive_append_size.h
+++ b/src/store/adaptive_append_size.h
@@ -14,10 +14,10 @@
 /// has to be resent whole: 100 results of 12 kB alone take 0.96 s on a 10 Mbit/s link, where a call
 /// times out after 1 s. On 5 Mbit/s, a 300 kB submission, of which a caller attempts several, never
 /// completed.
-class AppendSize {
+class AdaptiveAppendSize {
  public:
   /// @param max_bytes initial and maximum size.
-  explicit AppendSize(std::uint64_t max_bytes) : max_bytes_(max_bytes), bytes_(max_bytes) {}
+  explicit AdaptiveAppendSize(std::uint64_t max_bytes) : max_bytes_(max_bytes), bytes_(max_bytes) {}
 
   /// Returns the size limit of the next append.
   [[nodiscard]] std::uint64_t bytes() const { return bytes_; }
--- a/src/store/adaptive_read_limits.h
+++ b/src/store/adaptive_read_limits.h
@@ -12,7 +12,7 @@
 
 /// Limits of the next read. A read that timed out is retried with a longer timeout and fewer bytes:
 /// the response to an abandoned read still uses bandwidth and delays other reads.
-struct ReadBounds {
+struct AdaptiveReadLimits {
   /// Lower bound of a read's duration, which avoids a division by zero.
   static constexpr double kMinSeconds = 0.0001;
   /// The log returns at most 1 MB per read.
@@ -34,28 +34,28 @@
   /// and ten such reads may share the link.
   static constexpr Duration kMaxPageTimeout = std::chrono::seconds(8);
 
-  Duration patience = kPagePatience;    ///< Timeout of each page of newest records.
-  std::uint64_t bytes = kMaxBytes;      ///< Size limit of a read from an offset.
-  std::uint64_t min_bytes = kMinBytes;  ///< Lower bound of `bytes`.
+  Duration page_timeout = kPageTimeout;  ///< Timeout of each page of newest records.
+  std::uint64_t bytes = kMaxBytes;       ///< Size limit of a read from an offset.
+  std::uint64_t min_bytes = kMinBytes;   ///< Lower bound of `bytes`.
 
   /// Returns the limits for reading a whole partition, possibly from many nodes at the same time.
-  static ReadBounds for_full_read() {
-    ReadBounds bounds;
+  static AdaptiveReadLimits for_full_read() {
+    AdaptiveReadLimits bounds;
     bounds.bytes = kInitialBytes;
     bounds.min_bytes = kMinFullReadBytes;
     return bounds;
   }
 
   /// Doubles the page timeout and halves the size.
-  void ask_for_less() {
-    patience = std::min(patience * 2, kMaxPageTimeout);
+  void decrease() {
+    page_timeout = std::min(page_timeout * 2, kMaxPageTimeout);
     bytes = std::max(bytes / 2, min_bytes);
   }
   /// Updates the limits after a read that returned data but did not reach the end: the next read
   /// requests as many bytes as the observed throughput delivers within `kTargetReadTime`.
   /// Requesting more would time out, and the response would still use bandwidth.
   void on_partial_read(std::uint64_t bytes_read, Duration duration) {
-    patience = kPagePatience;
+    page_timeout = kPageTimeout;
     const double seconds = std::max(to_seconds(duration), kMinSeconds);
     const double target_bytes =
         static_cast<double>(bytes_read) * to_seconds(kTargetReadTime) / seconds;
@@ -64,8 +64,8 @@
                        std::min(min_bytes, max_next_bytes), max_next_bytes);
   }
   /// Resets the page timeout and doubles the size.
-  void ask_for_more() {
-    patience = kPagePatience;
+  void increase() {
+    page_timeout = kPageTimeout;
     bytes = std::min(bytes * 2, kMaxBytes);
   }
 };
--- a/src/store/append_with_retry.cc
+++ b/src/store/append_with_retry.cc
@@ -9,10 +9,10 @@
 
 namespace asio = boost::asio;
 
-asio::awaitable<AppendResult> append_until(asio::any_io_executor executor, RecordLog& log,
-                                           PartitionName partition,
-                                           std::vector<KeyedRecord> records, TimePoint deadline,
-                                           BackoffBounds backoff_bounds) {
+asio::awaitable<AppendResult> append_with_retry(asio::any_io_executor executor, RecordLog& log,
+                                                PartitionName partition,
+                                                std::vector<KeyedRecord> records,
+                                                TimePoint deadline, BackoffBounds backoff_bounds) {
   Backoff backoff(backoff_bounds);
   Timer timer(executor);
   while (true) {
--- a/src/store/backoff.h
+++ b/src/store/backoff.h
@@ -12,19 +12,19 @@
 
 /// Initial and maximum wait, before jitter.
 struct BackoffBounds {
-  Duration first = std::chrono::milliseconds(100);
-  Duration last = std::chrono::milliseconds(1000);
+  Duration initial_wait = std::chrono::milliseconds(100);
+  Duration max_wait = std::chrono::milliseconds(1000);
 };
 
 /// Generates the waits of one sequence of retries. Not thread-safe.
 class Backoff {
  public:
-  explicit Backoff(BackoffBounds bounds = {}) : bounds_(bounds), current_(bounds.first) {}
+  explicit Backoff(BackoffBounds bounds = {}) : bounds_(bounds), current_(bounds.initial_wait) {}
 
   /// Returns a wait between half and all of the current one, which then doubles.
   Duration next() {
     const Duration wait = current_ / 2 + Duration(process_random().below(current_.count() / 2 + 1));
-    current_ = std::min(current_ * 2, bounds_.last);
+    current_ = std::min(current_ * 2, bounds_.max_wait);
     return wait;
   }
   /// Returns the next wait, reduced by the duration of the failed attempt, which already served as
@@ -32,10 +32,10 @@
   /// the same time.
   Duration next_after_attempt(Duration attempt) {
     const Duration wait = next();
-    return std::max(wait - attempt, std::min(wait, bounds_.first) / 2);
+    return std::max(wait - attempt, std::min(wait, bounds_.initial_wait) / 2);
   }
   /// Restarts the sequence after a successful attempt.
-  void reset() { current_ = bounds_.first; }
+  void reset() { current_ = bounds_.initial_wait; }
 
  private:
   BackoffBounds bounds_;
--- a/src/store/coalesced_read.cc
+++ b/src/store/coalesced_read.cc
@@ -10,7 +10,7 @@
 
 namespace asio = boost::asio;
 
-asio::awaitable<LogStatus> SharedRead::run(Read read, TimePoint deadline) {
+asio::awaitable<LogStatus> CoalescedRead::run(Read read, TimePoint deadline) {
   const asio::any_io_executor executor = co_await asio::this_coro::executor;
   const std::uint64_t required = started_ + 1;
   while (finished_ < required) {
@@ -25,12 +25,12 @@
   co_return last_status_;
 }
 
-void SharedRead::start(const asio::any_io_executor& executor, Read read) {
+void CoalescedRead::start(const asio::any_io_executor& executor, Read read) {
   ++started_;
   asio::co_spawn(executor, perform(std::move(read)), asio::detached);
 }
 
-asio::awaitable<void> SharedRead::perform(Read read) {
+asio::awaitable<void> CoalescedRead::perform(Read read) {
   const LogStatus status = co_await read();
   last_status_ = status;
   ++finished_;
--- a/src/store/coalesced_read.h
+++ b/src/store/coalesced_read.h
@@ -18,7 +18,7 @@
 /// Without coalescing, every caller would transfer the same bytes over a slow link, and the reads
 /// would delay one another. A read continues after its callers have timed out, so that later
 /// callers benefit from its result. Used on one thread; outlives the calls in flight.
-class SharedRead {
+class CoalescedRead {
  public:
   using Read = std::function<boost::asio::awaitable<LogStatus>()>;
 
--- a/src/store/partition_replica.cc
+++ b/src/store/partition_replica.cc
@@ -46,11 +46,11 @@
 }
 
 void PartitionReplica::adapt_read_limits(const ReadResult& result, Duration duration) {
-  if (result.status == LogStatus::kUnknown) read_limits_.ask_for_less();
+  if (result.status == LogStatus::kUnknown) read_limits_.decrease();
   if (result.status != LogStatus::kOk) return;
   const bool complete = result.records.empty() || result.records.back().offset + 1 >= result.end;
   if (complete) {
-    read_limits_.ask_for_more();
+    read_limits_.increase();
     return;
   }
   std::uint64_t bytes = 0;
@@ -61,12 +61,12 @@
 asio::awaitable<LogStatus> PartitionReplica::load_newest() {
   const KeyRange all_keys;
   const Duration page_timeout = scope_ == ReplicaScope::kNewest
-                                    ? std::min(read_limits_.patience, kMaxNewestPageTimeout)
-                                    : read_limits_.patience;
+                                    ? std::min(read_limits_.page_timeout, kMaxNewestPageTimeout)
+                                    : read_limits_.page_timeout;
   ReadResult result = co_await newest_.run(log_, partition_, all_keys, page_timeout);
-  if (result.status == LogStatus::kUnknown) read_limits_.ask_for_less();
+  if (result.status == LogStatus::kUnknown) read_limits_.decrease();
   if (result.status != LogStatus::kOk) co_return result.status;
-  read_limits_.ask_for_more();
+  read_limits_.increase();
   health_.end = std::max(health_.end, result.end);
   if (result.end < next_offset_) co_return LogStatus::kOk;
   std::erase_if(result.records,
@@ -120,7 +120,7 @@
 }
 
 asio::awaitable<LogStatus> PartitionReplica::catch_up() {
-  const SharedRead::Read read = [self = shared_from_this()] { return self->read_to_end(); };
+  const CoalescedRead::Read read = [self = shared_from_this()] { return self->read_to_end(); };
   co_return co_await catch_up_read_.run(read, TimePoint::max());
 }
 
--- a/src/store/partition_replica.h
+++ b/src/store/partition_replica.h
@@ -102,9 +102,9 @@
   bool skip_to_newest_;
   RecordOffset next_offset_ = 0;
   ReplicaHealth health_;
-  NewestRead newest_;
-  SharedRead catch_up_read_;
-  ReadBounds read_limits_ = ReadBounds::for_full_read();  ///< For the next read.
+  ResumableNewestRead newest_;
+  CoalescedRead catch_up_read_;
+  AdaptiveReadLimits read_limits_ = AdaptiveReadLimits::for_full_read();  ///< For the next read.
   std::function<void()> loaded_listener_;
 };
 
--- a/src/store/read_semaphore.cc
+++ b/src/store/read_semaphore.cc
@@ -8,20 +8,20 @@
 
 namespace asio = boost::asio;
 
-asio::awaitable<ReadTurns::Turn> ReadTurns::take() {
+asio::awaitable<ReadSemaphore::Permit> ReadSemaphore::acquire() {
   const std::shared_ptr<State> state = state_;
   if (state->available > 0) {
     --state->available;
-    co_return Turn(state);
+    co_return Permit(state);
   }
   const auto timer =
       std::make_shared<Timer>(co_await asio::this_coro::executor, Timer::time_point::max());
   state->waiters.push_back(timer);
   co_await timer->async_wait(asio::as_tuple(asio::use_awaitable));
-  co_return Turn(state);
+  co_return Permit(state);
 }
 
-ReadTurns::Turn::~Turn() {
+ReadSemaphore::Permit::~Permit() {
   if (!state_) return;
   if (state_->waiters.empty()) {
     ++state_->available;
--- a/src/store/read_semaphore.h
+++ b/src/store/read_semaphore.h
@@ -14,10 +14,10 @@
 /// FIFO semaphore for coroutines. Large reads that share a slow link make one another time out;
 /// with only a few at a time, all of them complete. Used on one thread. Permits may be released
 /// after the semaphore is destroyed, as happens at process exit.
-class ReadTurns {
+class ReadSemaphore {
  public:
   /// @param max_concurrent number of permits.
-  explicit ReadTurns(int max_concurrent) : state_(std::make_shared<State>()) {
+  explicit ReadSemaphore(int max_concurrent) : state_(std::make_shared<State>()) {
     state_->available = max_concurrent;
   }
 
@@ -29,21 +29,21 @@
 
  public:
   /// Holds one permit and releases it on destruction.
-  class Turn {
+  class Permit {
    public:
-    explicit Turn(std::shared_ptr<State> state) : state_(std::move(state)) {}
-    Turn(Turn&& other) noexcept = default;
-    Turn(const Turn&) = delete;
-    Turn& operator=(const Turn&) = delete;
-    Turn& operator=(Turn&&) = delete;
-    ~Turn();
+    explicit Permit(std::shared_ptr<State> state) : state_(std::move(state)) {}
+    Permit(Permit&& other) noexcept = default;
+    Permit(const Permit&) = delete;
+    Permit& operator=(const Permit&) = delete;
+    Permit& operator=(Permit&&) = delete;
+    ~Permit();
 
    private:
     std::shared_ptr<State> state_;  ///< Null after a move.
   };
 
   /// Waits for a permit. Waiters are served in FIFO order.
-  boost::asio::awaitable<Turn> take();
+  boost::asio::awaitable<Permit> acquire();
 
  private:
   std::shared_ptr<State> state_;
--- a/src/store/record_log.h
+++ b/src/store/record_log.h
@@ -110,7 +110,7 @@
 inline constexpr std::uint64_t kRecordFramingBytes = 300;
 
 /// Timeout for a page of newest records when a caller is waiting for the response.
-inline constexpr Duration kPagePatience = std::chrono::seconds(1);
+inline constexpr Duration kPageTimeout = std::chrono::seconds(1);
 
 /// Interface to the durable log. Used on one thread; calls may overlap.
 class RecordLog {
--- a/src/store/resumable_newest_read.h
+++ b/src/store/resumable_newest_read.h
@@ -12,7 +12,7 @@
 /// next run resumes after them: if every failure restarted the read, a large partition might never
 /// be read completely over a link on which pages fail occasionally. Used on one thread; runs may
 /// overlap.
-class NewestRead {
+class ResumableNewestRead {
  public:
   /// Continues the read. With status `kOk` the result is complete: it holds all records below its
   /// `end`, which is the end that the first page reported, possibly several runs earlier.
@@ -22,7 +22,7 @@
   boost::asio::awaitable<ReadResult> run(RecordLog& log, PartitionName partition, KeyRange range,
                                          Duration page_timeout);
   /// Returns whether pages of an earlier run are kept.
-  [[nodiscard]] bool begun() const { return !pages_.resume_after.empty(); }
+  [[nodiscard]] bool has_partial_result() const { return !pages_.resume_after.empty(); }
 
  private:
   ReadResult pages_;
--- a/src/store/store_traffic.cc
+++ b/src/store/store_traffic.cc
@@ -17,8 +17,8 @@
 constexpr Duration kLineInterval = std::chrono::seconds(5);
 
 TrafficCount difference(const TrafficCount& now, const TrafficCount& before) {
-  return {now.calls - before.calls, now.time_outs - before.time_outs,
-          now.bytes_sent - before.bytes_sent, now.bytes_answered - before.bytes_answered,
+  return {now.calls - before.calls, now.timeouts - before.timeouts,
+          now.bytes_sent - before.bytes_sent, now.bytes_received - before.bytes_received,
           now.refused - before.refused};
 }
 
@@ -36,10 +36,10 @@
 void StoreTraffic::add(const StoreCall& call) {
   TrafficCount& count = counts_[{call.call, topic_family(call.topic)}];
   ++count.calls;
-  if (call.timed_out) ++count.time_outs;
+  if (call.timed_out) ++count.timeouts;
   if (call.status == LogStatus::kNotDone) ++count.refused;
   count.bytes_sent += call.bytes_sent;
-  count.bytes_answered += call.bytes_answered;
+  count.bytes_received += call.bytes_received;
 }
 
 StoreTraffic::Counts StoreTraffic::take_delta() {
@@ -58,8 +58,8 @@
   for (const auto& [kind, count] : counts) {
     if (!text.empty()) text += ",";
     text += kind.first + ":" + kind.second + "=" + std::to_string(count.calls) + "/" +
-            std::to_string(count.bytes_sent) + "/" + std::to_string(count.bytes_answered);
-    if (count.time_outs > 0) text += "/" + std::to_string(count.time_outs);
+            std::to_string(count.bytes_sent) + "/" + std::to_string(count.bytes_received);
+    if (count.timeouts > 0) text += "/" + std::to_string(count.timeouts);
   }
   return text;
 }
@@ -74,16 +74,16 @@
     TrafficCount total;
     for (const auto& [kind, count] : changes) {
       total.calls += count.calls;
-      total.time_outs += count.time_outs;
+      total.timeouts += count.timeouts;
       total.refused += count.refused;
       total.bytes_sent += count.bytes_sent;
-      total.bytes_answered += count.bytes_answered;
+      total.bytes_received += count.bytes_received;
     }
     log_event(Event::kStoreTraffic, {{"calls", std::to_string(total.calls)},
-                                     {"time_outs", std::to_string(total.time_outs)},
+                                     {"time_outs", std::to_string(total.timeouts)},
                                      {"refused", std::to_string(total.refused)},
                                      {"bytes_sent", std::to_string(total.bytes_sent)},
-                                     {"bytes_answered", std::to_string(total.bytes_answered)},
+                                     {"bytes_answered", std::to_string(total.bytes_received)},
                                      {"by_topic", traffic_text(changes)}});
   }
 }
--- a/src/store/store_traffic.h
+++ b/src/store/store_traffic.h
@@ -20,16 +20,16 @@
   LogStatus status = LogStatus::kUnknown;
   Duration duration{0};
   std::uint64_t bytes_sent = 0;      ///< Size of target and body, without headers.
-  std::uint64_t bytes_answered = 0;  ///< Size of the body; 0 if it was not received completely.
+  std::uint64_t bytes_received = 0;  ///< Size of the body; 0 if it was not received completely.
   bool timed_out = false;            ///< Whether the call timed out without a response.
 };
 
 /// Totals of one kind of call to one topic.
 struct TrafficCount {
   std::uint64_t calls = 0;
-  std::uint64_t time_outs = 0;
+  std::uint64_t timeouts = 0;
   std::uint64_t bytes_sent = 0;
-  std::uint64_t bytes_answered = 0;
+  std::uint64_t bytes_received = 0;
   std::uint64_t refused = 0;  ///< Refused by the store, or not sent.
 
   bool operator==(const TrafficCount&) const = default;
--- a/src/tenancy/tenant_gossip.cc
+++ b/src/tenancy/tenant_gossip.cc
@@ -27,16 +27,16 @@
   return limits_.own_changes(full ? kFullReportRepeatTime : kRepeatTime, kMaxInDigest, now);
 }
 
-void TenantGossip::take_report(std::uint64_t node, const std::vector<TenantUsage>& usages,
-                               TimePoint now) {
+void TenantGossip::apply_report(std::uint64_t node, const std::vector<TenantUsage>& usages,
+                                TimePoint now) {
   zone_nodes_[node] = now;
   departed_zone_nodes_.erase(node);
   for (const auto& usage : usages) limits_.apply_usage(node, usage, now);
-  limits_.node_heard(node, now);
+  limits_.on_node_heard(node, now);
 }
 
-bool TenantGossip::take_leave(std::uint64_t node, const std::vector<TenantUsage>& usages,
-                              TimePoint now) {
+bool TenantGossip::apply_leave(std::uint64_t node, const std::vector<TenantUsage>& usages,
+                               TimePoint now) {
   const bool is_new = !departed_zone_nodes_.contains(node);
   zone_nodes_.erase(node);
   departed_zone_nodes_[node] = now;
@@ -49,40 +49,40 @@
 ZoneTenantUsage TenantGossip::make_zone_report(TimePoint now) const {
   ZoneTenantUsage report;
   report.zone = zone_;
-  report.pass_on = true;
-  (leaving_ ? report.left : report.nodes).push_back(node_);
+  report.forward = true;
+  (leaving_ ? report.departed : report.nodes).push_back(node_);
   for (const auto& [node, left_at] : departed_zone_nodes_) {
-    if (now - left_at <= kLeaveRepeatTime && report.left.size() < kMaxNodes)
-      report.left.push_back(node);
+    if (now - left_at <= kLeaveRepeatTime && report.departed.size() < kMaxNodes)
+      report.departed.push_back(node);
   }
   for (const auto& [node, last_heard] : zone_nodes_) {
     if (now - last_heard <= kAliveTimeout && report.nodes.size() < kMaxNodes)
       report.nodes.push_back(node);
   }
   for (const auto& usage : limits_.own_changes(kRepeatTime, kMaxInDigest, now)) {
-    report.uses.push_back({node_, usage});
+    report.usages.push_back({node_, usage});
   }
   const auto others = limits_.changes_of(report.nodes, kRepeatTime, kMaxInZoneReport, now);
-  report.uses.insert(report.uses.end(), others.begin(), others.end());
+  report.usages.insert(report.usages.end(), others.begin(), others.end());
   return report;
 }
 
-void TenantGossip::take_zone_report(const ZoneTenantUsage& report, TimePoint now) {
+void TenantGossip::apply_zone_report(const ZoneTenantUsage& report, TimePoint now) {
   if (report.zone == zone_) return;
-  for (const auto& use : report.uses) {
+  for (const auto& use : report.usages) {
     if (use.node != node_) limits_.apply_usage(use.node, use.usage, now);
   }
   for (const std::uint64_t node : report.nodes) limits_.on_node_reported(node, now);
-  for (const std::uint64_t node : report.left) limits_.on_node_left(node, now);
+  for (const std::uint64_t node : report.departed) limits_.on_node_left(node, now);
 }
 
-void TenantGossip::check_silence(TimePoint now) {
+void TenantGossip::update_silent_nodes(TimePoint now) {
   constexpr Duration kNodeRetention = std::chrono::seconds(20);
   std::erase_if(zone_nodes_,
                 [&](const auto& entry) { return now - entry.second > kNodeRetention; });
   std::erase_if(departed_zone_nodes_,
                 [&](const auto& entry) { return now - entry.second > kNodeRetention; });
-  limits_.check_silence(now);
+  limits_.update_silent_nodes(now);
 }
 
 }  // namespace stoathold
--- a/src/tenancy/tenant_gossip.h
+++ b/src/tenancy/tenant_gossip.h
@@ -20,18 +20,18 @@
  public:
   /// @param node id of this node in messages.
   /// @param zone hash of this node's zone name.
-  TenantGossip(TenantLimits& limits, std::uint64_t node, std::uint64_t zone)
+  TenantGossip(TenantRateLimiter& limits, std::uint64_t node, std::uint64_t zone)
       : limits_(limits), node_(node), zone_(zone) {}
 
   /// Returns this node's counters for a digest: those that changed recently or, in a full report,
   /// those of the last seconds, which makes up for lost messages.
   [[nodiscard]] std::vector<TenantUsage> make_report(bool full, TimePoint now) const;
   /// Applies a digest from a node of the own zone.
-  void take_report(std::uint64_t node, const std::vector<TenantUsage>& usages, TimePoint now);
+  void apply_report(std::uint64_t node, const std::vector<TenantUsage>& usages, TimePoint now);
 
   /// Applies the last counters of a node of the own zone that leaves as planned.
   /// @return whether the leave was not known before.
-  bool take_leave(std::uint64_t node, const std::vector<TenantUsage>& usages, TimePoint now);
+  bool apply_leave(std::uint64_t node, const std::vector<TenantUsage>& usages, TimePoint now);
   /// Marks this node as leaving as planned; it admits nothing from now on.
   void leave() { leaving_ = true; }
   [[nodiscard]] bool leaving() const { return leaving_; }
@@ -39,15 +39,15 @@
   /// Returns the report for other zones.
   [[nodiscard]] ZoneTenantUsage make_zone_report(TimePoint now) const;
   /// Applies a report from another zone.
-  void take_zone_report(const ZoneTenantUsage& report, TimePoint now);
+  void apply_zone_report(const ZoneTenantUsage& report, TimePoint now);
 
   /// Updates the set of silent nodes; called every `kTenantReportInterval`.
-  void check_silence(TimePoint now);
+  void update_silent_nodes(TimePoint now);
   /// Returns whether any tenant has a limit, so that reports are needed.
-  [[nodiscard]] bool needed() const { return limits_.limited(); }
+  [[nodiscard]] bool needed() const { return limits_.has_limits(); }
 
  private:
-  TenantLimits& limits_;
+  TenantRateLimiter& limits_;
   std::uint64_t node_;
   std::uint64_t zone_;
   /// Nodes of the own zone and when they were last heard from.
--- a/src/tenancy/tenant_rate_limiter.cc
+++ b/src/tenancy/tenant_rate_limiter.cc
@@ -28,11 +28,11 @@
 
 }  // namespace
 
-TenantLimits::Bucket& TenantLimits::bucket_of(std::uint64_t tenant) {
+TenantRateLimiter::Bucket& TenantRateLimiter::bucket_of(std::uint64_t tenant) {
   return buckets_[tenant];
 }
 
-void TenantLimits::set_tenants(const TenantDirectory& directory, TimePoint now) {
+void TenantRateLimiter::set_tenants(const TenantDirectory& directory, TimePoint now) {
   limited_ = false;
   for (const Tenant& tenant : directory.tenants()) {
     limited_ = limited_ || !tenant.limit.unlimited();
@@ -51,7 +51,7 @@
 }
 
 /// A silent node is weighted by its requests at the time when it was last heard from.
-double TenantLimits::weight_of(const Bucket& bucket, std::uint64_t node, TimePoint now) const {
+double TenantRateLimiter::weight_of(const Bucket& bucket, std::uint64_t node, TimePoint now) const {
   const auto found = bucket.nodes.find(node);
   if (found == bucket.nodes.end()) return kIdleWeight;
   const TimePoint last_heard = last_heard_.at(node);
@@ -61,11 +61,11 @@
 
 /// A process that has heard from no other node does not know how many there are. A process that all
 /// others have left has the whole limit.
-double TenantLimits::isolated_share() const {
+double TenantRateLimiter::isolated_share() const {
   return all_departed_ ? 1 : 1 / (1 + kAssumedNodes);
 }
 
-double TenantLimits::total_weight(const Bucket& bucket, TimePoint now) const {
+double TenantRateLimiter::total_weight(const Bucket& bucket, TimePoint now) const {
   const double own = bucket.own_recent.value(now) + kIdleWeight;
   if (last_heard_.empty()) return own / isolated_share();
   double total = own;
@@ -76,8 +76,8 @@
 /// Divides the limit between the silent nodes and the connected ones. A node keeps the share that
 /// it has when it falls silent until it is heard from again, since neither side learns any longer
 /// how the tenant's requests are distributed.
-void TenantLimits::assign_shares(Bucket& bucket, const std::vector<std::uint64_t>& silent,
-                                 TimePoint now) {
+void TenantRateLimiter::assign_shares(Bucket& bucket, const std::vector<std::uint64_t>& silent,
+                                      TimePoint now) {
   const double total = total_weight(bucket, now);
   if (last_heard_.empty()) {
     bucket.connected_share = isolated_share();
@@ -95,7 +95,7 @@
   bucket.connected_share = std::clamp(remaining, 0.0, 1.0);
 }
 
-void TenantLimits::refill(Bucket& bucket, TimePoint now) {
+void TenantRateLimiter::refill(Bucket& bucket, TimePoint now) {
   const double seconds = to_seconds(now - bucket.refilled_at);
   bucket.refilled_at = now;
   if (seconds <= 0) return;
@@ -109,9 +109,9 @@
   bucket.level = std::min(capacity, bucket.level + gained * bucket.connected_share);
 }
 
-AdmissionDecision TenantLimits::admit(const Tenant& tenant, TimePoint now) {
+AdmissionDecision TenantRateLimiter::admit(const Tenant& tenant, TimePoint now) {
   if (tenant.limit.unlimited()) return {};
-  if (now - last_check_ > kSilenceTimeout) check_silence(now);
+  if (now - last_check_ > kSilenceTimeout) update_silent_nodes(now);
   Bucket& bucket = bucket_of(stable_hash(tenant.name));
   refill(bucket, now);
   if (bucket.level < 1) {
@@ -127,7 +127,7 @@
   return {};
 }
 
-void TenantLimits::give_back(const std::string& tenant, TimePoint now) {
+void TenantRateLimiter::refund(const std::string& tenant, TimePoint now) {
   const auto found = buckets_.find(stable_hash(tenant));
   if (found == buckets_.end() || found->second.limit.unlimited()) return;
   Bucket& bucket = found->second;
@@ -136,7 +136,7 @@
   note_change(own_changes_, 0, found->first, now);
 }
 
-void TenantLimits::node_heard(std::uint64_t node, TimePoint now) {
+void TenantRateLimiter::on_node_heard(std::uint64_t node, TimePoint now) {
   departed_.erase(node);
   all_departed_ = false;
   const bool first = last_heard_.empty();
@@ -145,11 +145,11 @@
   if (first) assign_all_shares(now);
 }
 
-void TenantLimits::on_node_reported(std::uint64_t node, TimePoint now) {
-  if (!departed_.contains(node)) node_heard(node, now);
+void TenantRateLimiter::on_node_reported(std::uint64_t node, TimePoint now) {
+  if (!departed_.contains(node)) on_node_heard(node, now);
 }
 
-bool TenantLimits::on_node_left(std::uint64_t node, TimePoint now) {
+bool TenantRateLimiter::on_node_left(std::uint64_t node, TimePoint now) {
   departed_[node] = now;
   if (!last_heard_.contains(node)) return false;
   all_departed_ = last_heard_.size() == 1;
@@ -157,7 +157,7 @@
   return true;
 }
 
-void TenantLimits::apply_usage(std::uint64_t node, const TenantUsage& usage, TimePoint now) {
+void TenantRateLimiter::apply_usage(std::uint64_t node, const TenantUsage& usage, TimePoint now) {
   Bucket& bucket = bucket_of(usage.tenant);
   const bool known_node = last_heard_.contains(node);
   const auto [position, first] = bucket.nodes.try_emplace(node);
@@ -177,19 +177,19 @@
   bucket.level -= difference - already_counted;
 }
 
-void TenantLimits::refill_all(TimePoint now) {
+void TenantRateLimiter::refill_all(TimePoint now) {
   for (auto& [tenant, bucket] : buckets_) {
     if (!bucket.limit.unlimited()) refill(bucket, now);
   }
 }
 
-void TenantLimits::assign_all_shares(TimePoint now) {
+void TenantRateLimiter::assign_all_shares(TimePoint now) {
   for (auto& [tenant, bucket] : buckets_) {
     if (!bucket.limit.unlimited()) assign_shares(bucket, silent_nodes_, now);
   }
 }
 
-void TenantLimits::clear_silent_share(std::uint64_t node) {
+void TenantRateLimiter::clear_silent_share(std::uint64_t node) {
   for (auto& [tenant, bucket] : buckets_) {
     const auto usage_of_node = bucket.nodes.find(node);
     if (usage_of_node != bucket.nodes.end()) usage_of_node->second.silent_share = 0;
@@ -198,14 +198,14 @@
 
 /// A suspended process has not seen what the others admitted meanwhile, so its buckets gain no
 /// tokens for that time.
-void TenantLimits::skip_suspension(TimePoint now) {
+void TenantRateLimiter::skip_suspension(TimePoint now) {
   if (last_check_ != TimePoint{} && now - last_check_ > kSilenceTimeout) {
     for (auto& [tenant, bucket] : buckets_) bucket.refilled_at = now;
   }
   last_check_ = now;
 }
 
-void TenantLimits::check_silence(TimePoint now) {
+void TenantRateLimiter::update_silent_nodes(TimePoint now) {
   skip_suspension(now);
   std::vector<std::uint64_t> silent;
   for (const auto& [node, last_heard] : last_heard_) {
@@ -225,7 +225,7 @@
   remove_gone_nodes(now);
 }
 
-void TenantLimits::remove_gone_nodes(TimePoint now) {
+void TenantRateLimiter::remove_gone_nodes(TimePoint now) {
   std::erase_if(departed_, [&](const auto& entry) { return now - entry.second > kRemovalTimeout; });
   std::vector<std::uint64_t> gone;
   for (const auto& [node, last_heard] : last_heard_) {
@@ -235,7 +235,7 @@
 }
 
 /// Redistributes the shares of the removed nodes to the others.
-void TenantLimits::remove_nodes(const std::vector<std::uint64_t>& nodes, TimePoint now) {
+void TenantRateLimiter::remove_nodes(const std::vector<std::uint64_t>& nodes, TimePoint now) {
   refill_all(now);
   for (const std::uint64_t node : nodes) {
     last_heard_.erase(node);
@@ -248,14 +248,14 @@
   assign_all_shares(now);
 }
 
-void TenantLimits::note_change(std::deque<Change>& changes, std::uint64_t node,
-                               std::uint64_t tenant, TimePoint now) {
+void TenantRateLimiter::note_change(std::deque<Change>& changes, std::uint64_t node,
+                                    std::uint64_t tenant, TimePoint now) {
   while (!changes.empty() && now - changes.front().time > kChangeRetention) changes.pop_front();
   changes.push_back({now, node, tenant});
 }
 
-std::vector<TenantUsage> TenantLimits::own_changes(Duration age, std::size_t max_count,
-                                                   TimePoint now) const {
+std::vector<TenantUsage> TenantRateLimiter::own_changes(Duration age, std::size_t max_count,
+                                                        TimePoint now) const {
   std::vector<TenantUsage> result;
   std::set<std::uint64_t> included;
   for (auto change = own_changes_.rbegin(); change != own_changes_.rend(); ++change) {
@@ -266,9 +266,9 @@
   return result;
 }
 
-std::vector<NodeTenantUsage> TenantLimits::changes_of(const std::vector<std::uint64_t>& nodes,
-                                                      Duration age, std::size_t max_count,
-                                                      TimePoint now) const {
+std::vector<NodeTenantUsage> TenantRateLimiter::changes_of(const std::vector<std::uint64_t>& nodes,
+                                                           Duration age, std::size_t max_count,
+                                                           TimePoint now) const {
   const std::set<std::uint64_t> wanted(nodes.begin(), nodes.end());
   std::vector<NodeTenantUsage> result;
   std::set<std::pair<std::uint64_t, std::uint64_t>> included;
@@ -284,7 +284,7 @@
   return result;
 }
 
-double TenantLimits::available(const std::string& tenant, TimePoint now) {
+double TenantRateLimiter::available(const std::string& tenant, TimePoint now) {
   Bucket& bucket = bucket_of(stable_hash(tenant));
   refill(bucket, now);
   return bucket.level;
--- a/src/tenancy/tenant_rate_limiter.h
+++ b/src/tenancy/tenant_rate_limiter.h
@@ -42,7 +42,7 @@
 inline constexpr Duration kRecentDecayTime = std::chrono::seconds(3);
 
 /// Token buckets of all tenants, as seen by this node. Used on one thread.
-class TenantLimits {
+class TenantRateLimiter {
  public:
   /// Applies a new version of the configuration.
   void set_tenants(const TenantDirectory& directory, TimePoint now);
@@ -50,10 +50,10 @@
   /// Requests admission for one request of a tenant. An admitted request is counted.
   AdmissionDecision admit(const Tenant& tenant, TimePoint now);
   /// Returns the token of an admitted request that has not run and never will.
-  void give_back(const std::string& tenant, TimePoint now);
+  void refund(const std::string& tenant, TimePoint now);
 
   /// Records that another node is alive and connected.
-  void node_heard(std::uint64_t node, TimePoint now);
+  void on_node_heard(std::uint64_t node, TimePoint now);
   /// Records that a third node reported another node as alive. Ignored if that node has left as
   /// planned, because the report may be older than the leave.
   void on_node_reported(std::uint64_t node, TimePoint now);
@@ -63,9 +63,9 @@
   /// Applies another node's counter of admitted requests of a tenant.
   void apply_usage(std::uint64_t node, const TenantUsage& usage, TimePoint now);
   /// Recomputes which nodes are silent; called several times a second.
-  void check_silence(TimePoint now);
+  void update_silent_nodes(TimePoint now);
   /// Returns whether any tenant has a limit.
-  [[nodiscard]] bool limited() const { return limited_; }
+  [[nodiscard]] bool has_limits() const { return limited_; }
 
   /// Returns this node's counters that changed within `age`, newest first, at most `max_count`.
   [[nodiscard]] std::vector<TenantUsage> own_changes(Duration age, std::size_t max_count,
--- a/src/tenancy/tenant_usage.h
+++ b/src/tenancy/tenant_usage.h
@@ -31,15 +31,15 @@
 
 /// Usage at the nodes of a zone, reported to another zone.
 struct ZoneTenantUsage {
-  std::uint64_t zone = 0;             ///< Hash of the sender's zone.
-  std::vector<std::uint64_t> nodes;   ///< Nodes of the zone that the sender hears from.
-  std::vector<NodeTenantUsage> uses;  ///< Recently changed counters.
-  std::vector<std::uint64_t> left;    ///< Nodes of the zone that recently left as planned.
-  bool pass_on = false;               ///< The receiver forwards the report within its zone.
+  std::uint64_t zone = 0;               ///< Hash of the sender's zone.
+  std::vector<std::uint64_t> nodes;     ///< Nodes of the zone that the sender hears from.
+  std::vector<NodeTenantUsage> usages;  ///< Recently changed counters.
+  std::vector<std::uint64_t> departed;  ///< Nodes of the zone that recently left as planned.
+  bool forward = false;                 ///< The receiver forwards the report within its zone.
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(zone, nodes, uses, left, pass_on);
+    archive(zone, nodes, usages, departed, forward);
   }
 };
 
--- a/tests/admission/admission_control_test.cc
+++ b/tests/admission/admission_control_test.cc
@@ -9,11 +9,11 @@
 
 class AdmissionControlTest : public testing::Test {
  protected:
-  WaitReview new_request(Duration wait, std::uint32_t ahead = 5) const {
-    return {.standing = AdmissionStanding::kNewcomer,
+  AdmissionInput new_request(Duration wait, std::uint32_t ahead = 5) const {
+    return {.admission_class = AdmissionClass::kNewRequest,
             .arrival = now,
             .due = now + 250 * kMs,
-            .last_start = now + 1900 * kMs,
+            .latest_start = now + 1900 * kMs,
             .forecast = WaitForecast{ahead, wait, std::nullopt},
             .retry_after = 800 * kMs};
   }
@@ -21,66 +21,66 @@
 };
 
 TEST_F(AdmissionControlTest, KeepsRequestsThatCanBeOnTime) {
-  EXPECT_FALSE(review_wait(new_request(150 * kMs), now));
+  EXPECT_FALSE(check_admission(new_request(150 * kMs), now));
 }
 
 TEST_F(AdmissionControlTest, RejectsOnArrivalIfRequestsAheadMakeItLate) {
-  EXPECT_EQ(review_wait(new_request(400 * kMs), now), RejectionReason::kOverloaded);
+  EXPECT_EQ(check_admission(new_request(400 * kMs), now), RejectionReason::kOverloaded);
 }
 
 TEST_F(AdmissionControlTest, KeepsLateRequestsWithNoOnTimeRequestAhead) {
-  WaitReview input = new_request(400 * kMs, 0);
-  EXPECT_FALSE(review_wait(input, now));
-  EXPECT_FALSE(review_wait(input, now + 1000 * kMs));
+  AdmissionInput input = new_request(400 * kMs, 0);
+  EXPECT_FALSE(check_admission(input, now));
+  EXPECT_FALSE(check_admission(input, now + 1000 * kMs));
 }
 
 TEST_F(AdmissionControlTest, KeepsRequestsWithoutForecast) {
-  WaitReview input = new_request(400 * kMs);
+  AdmissionInput input = new_request(400 * kMs);
   input.forecast.reset();
-  EXPECT_FALSE(review_wait(input, now));
-  EXPECT_FALSE(review_wait(input, now + 1800 * kMs));
+  EXPECT_FALSE(check_admission(input, now));
+  EXPECT_FALSE(check_admission(input, now + 1800 * kMs));
 }
 
 TEST_F(AdmissionControlTest, RejectsAfterCallerTimeoutWithOrWithoutForecast) {
-  WaitReview input = new_request(50 * kMs);
-  EXPECT_EQ(review_wait(input, now + 1901 * kMs), RejectionReason::kTooLate);
+  AdmissionInput input = new_request(50 * kMs);
+  EXPECT_EQ(check_admission(input, now + 1901 * kMs), RejectionReason::kTooLate);
   input.forecast.reset();
-  EXPECT_EQ(review_wait(input, now + 1901 * kMs), RejectionReason::kTooLate);
+  EXPECT_EQ(check_admission(input, now + 1901 * kMs), RejectionReason::kTooLate);
 }
 
 TEST_F(AdmissionControlTest, RejectsBookedRetriesOnlyAfterCallerTimeout) {
-  WaitReview input = new_request(400 * kMs);
-  input.standing = AdmissionStanding::kReturned;
-  EXPECT_FALSE(review_wait(input, now));
+  AdmissionInput input = new_request(400 * kMs);
+  input.admission_class = AdmissionClass::kBookedRetry;
+  EXPECT_FALSE(check_admission(input, now));
   input.forecast->wait = 1950 * kMs;
-  EXPECT_EQ(review_wait(input, now), RejectionReason::kTooLate);
+  EXPECT_EQ(check_admission(input, now), RejectionReason::kTooLate);
 }
 
 TEST_F(AdmissionControlTest, KeepsStartedRequests) {
-  WaitReview input = new_request(4000 * kMs);
-  input.standing = AdmissionStanding::kBegun;
-  EXPECT_FALSE(review_wait(input, now + 3000 * kMs));
+  AdmissionInput input = new_request(4000 * kMs);
+  input.admission_class = AdmissionClass::kStarted;
+  EXPECT_FALSE(check_admission(input, now + 3000 * kMs));
 }
 
 // A caller rejected after a long wait would be served later by its retry than by waiting on.
 TEST_F(AdmissionControlTest, KeepsWaitingRequestsIfALateSlotPrecedesTheRetry) {
-  WaitReview input = new_request(400 * kMs);
+  AdmissionInput input = new_request(400 * kMs);
   input.forecast->time_to_drain = 200 * kMs;
-  EXPECT_EQ(review_wait(input, now), RejectionReason::kOverloaded);
-  EXPECT_FALSE(review_wait(input, now + 200 * kMs));
+  EXPECT_EQ(check_admission(input, now), RejectionReason::kOverloaded);
+  EXPECT_FALSE(check_admission(input, now + 200 * kMs));
   input.retry_after = 150 * kMs;
-  EXPECT_EQ(review_wait(input, now + 200 * kMs), RejectionReason::kOverloaded);
+  EXPECT_EQ(check_admission(input, now + 200 * kMs), RejectionReason::kOverloaded);
 }
 
 // A late slot further ahead than the objective cannot be forecast reliably.
 TEST_F(AdmissionControlTest, RejectsWaitingRequestsIfTheLateSlotIsBeyondTheObjective) {
-  WaitReview input = new_request(400 * kMs);
+  AdmissionInput input = new_request(400 * kMs);
   input.forecast->time_to_drain = 500 * kMs;
-  EXPECT_EQ(review_wait(input, now + 200 * kMs), RejectionReason::kOverloaded);
+  EXPECT_EQ(check_admission(input, now + 200 * kMs), RejectionReason::kOverloaded);
 }
 
 TEST_F(AdmissionControlTest, PredictsWaitFromSlotTimeAheadAndSlots) {
-  ServiceFigures statistics;
+  ServiceStatistics statistics;
   statistics.slot_time = 700 * kMs;
   statistics.peers = {60, 60 * 700 * kMs};
   const QueuePosition last{.ahead = {9, 9 * 700 * kMs}, .all = {10, 10 * 700 * kMs}};
@@ -98,19 +98,20 @@
 // A full zone next to one with free slots: if requests were rejected at once, none would remain for
 // which slots are borrowed.
 TEST_F(AdmissionControlTest, SubtractsSlotsLentByOtherZonesFromRequestsAhead) {
-  ServiceFigures statistics;
+  ServiceStatistics statistics;
   statistics.slot_time = 700 * kMs;
   statistics.peers = {60, 60 * 700 * kMs};
   const QueuePosition alone{.ahead = {}, .all = {1, 700 * kMs}};
-  const auto some = predict_wait(alone, statistics, {.zone = 120, .spare_elsewhere = 30}, 100);
+  const auto some = predict_wait(alone, statistics, {.zone = 120, .lent_by_other_zones = 30}, 100);
   EXPECT_EQ(some->ahead, 30U);
   EXPECT_NEAR(to_seconds(some->wait), 30 * 0.7 / 120, 0.001);
-  EXPECT_EQ(predict_wait(alone, statistics, {.zone = 120, .spare_elsewhere = 90}, 100)->ahead, 0U);
+  EXPECT_EQ(predict_wait(alone, statistics, {.zone = 120, .lent_by_other_zones = 90}, 100)->ahead,
+            0U);
 }
 
 TEST_F(AdmissionControlTest, GivesNoForecastWithoutSlotTimeOrSlots) {
-  EXPECT_FALSE(predict_wait({}, ServiceFigures{}, {.zone = 120}, 100));
-  ServiceFigures statistics;
+  EXPECT_FALSE(predict_wait({}, ServiceStatistics{}, {.zone = 120}, 100));
+  ServiceStatistics statistics;
   statistics.slot_time = 700 * kMs;
   EXPECT_FALSE(predict_wait({}, statistics, {}, 100));
 }
--- a/tests/admission/admission_simulation.h
+++ b/tests/admission/admission_simulation.h
@@ -118,14 +118,14 @@
     TimePoint attempt{};
     bool is_retry = false;
     bool counted = false;
-    AdmissionStanding standing = AdmissionStanding::kNewcomer;
+    AdmissionClass standing = AdmissionClass::kNewRequest;
     TimePoint rejection_certain_since{};
     [[nodiscard]] TimePoint due() const { return attempt + kObjective - kFirstEvent; }
-    [[nodiscard]] TimePoint last_start() const { return attempt + kPatience - kFirstEvent; }
+    [[nodiscard]] TimePoint latest_start() const { return attempt + kPatience - kFirstEvent; }
   };
   struct Node {
     ZoneBacklog backlog;
-    ReturningCallers returning;
+    RetryBookings returning;
     std::vector<Caller> waiting;
     TimePoint above_since{};  ///< Records when rejections become certain between two reviews.
     TimePoint next_drop{};
@@ -135,7 +135,7 @@
     TimePoint at{};
     std::size_t from = 0;
     std::vector<ServiceBacklog> backlogs;
-    std::vector<ReturnReport> returns;
+    std::vector<RetryBookingReport> returns;
   };
 
   [[nodiscard]] double rate() const {
@@ -146,7 +146,7 @@
   void restart() {
     for (Node& node : nodes_) {
       node.backlog = ZoneBacklog{};
-      node.returning = ReturningCallers{};
+      node.returning = RetryBookings{};
     }
     ++incarnation_;
   }
@@ -174,10 +174,10 @@
   void enter(Caller caller) {
     ++all_arrivals_[static_cast<std::size_t>(seconds_)];
     Node& node = nodes_[random_.below(nodes_.size())];
-    if (node.returning.take(caller.content, now_)) {
-      caller.standing = AdmissionStanding::kReturned;
+    if (node.returning.consume(caller.content, now_)) {
+      caller.standing = AdmissionClass::kBookedRetry;
     } else {
-      node.backlog.count_arrival(kService, 0, now_);
+      node.backlog.record_arrival(kService, 0, now_);
     }
     if (has_slot()) return serve(node, caller);
     if (scenario_.strategy == Strategy::kPredictedWait &&
@@ -192,8 +192,8 @@
                      [this](const Caller& left, const Caller& right) {
                        if (scenario_.strategy == Strategy::kNewestFirst)
                          return left.attempt > right.attempt;
-                       const bool left_new = left.standing == AdmissionStanding::kNewcomer;
-                       const bool right_new = right.standing == AdmissionStanding::kNewcomer;
+                       const bool left_new = left.standing == AdmissionClass::kNewRequest;
+                       const bool right_new = right.standing == AdmissionClass::kNewRequest;
                        if (left_new != right_new) return right_new;
                        return left.attempt < right.attempt;
                      });
@@ -206,8 +206,8 @@
       if (other.content == caller.content) before = false;
       if (now_ >= other.due()) continue;
       position.all += {1, scenario_.slot_time};
-      const bool newcomer_waits = caller.standing == AdmissionStanding::kReturned &&
-                                  other.standing == AdmissionStanding::kNewcomer;
+      const bool newcomer_waits = caller.standing == AdmissionClass::kBookedRetry &&
+                                  other.standing == AdmissionClass::kNewRequest;
       if (before && other.content != caller.content && !newcomer_waits) {
         position.ahead += {1, scenario_.slot_time};
       }
@@ -217,33 +217,35 @@
     if (!own_in_time) position.ahead = position.all;
     return position;
   }
-  [[nodiscard]] WaitReview input_for(Node& node, const Caller& caller, const QueuePosition& place) {
-    WaitReview input{.standing = caller.standing,
-                     .arrival = caller.attempt,
-                     .due = caller.due(),
-                     .last_start = caller.last_start(),
-                     .forecast = std::nullopt,
-                     .retry_after = std::nullopt};
-    const ServiceFigures statistics = node.backlog.figures(kService, 0, now_);
-    const ArrivalSwing* forecaster = node.backlog.swing(kService, now_);
-    input.forecast =
-        predict_wait(place, statistics, slot_capacity(), forecaster ? forecaster->rate() : 0);
-    if (!review_wait(input, now_)) return input;
+  [[nodiscard]] AdmissionInput input_for(Node& node, const Caller& caller,
+                                         const QueuePosition& place) {
+    AdmissionInput input{.admission_class = caller.standing,
+                         .arrival = caller.attempt,
+                         .due = caller.due(),
+                         .latest_start = caller.latest_start(),
+                         .forecast = std::nullopt,
+                         .retry_after = std::nullopt};
+    const ServiceStatistics statistics = node.backlog.statistics(kService, 0, now_);
+    const ArrivalRateForecaster* forecaster = node.backlog.arrival_forecaster(kService, now_);
+    input.forecast = predict_wait(place, statistics, slot_capacity(),
+                                  forecaster ? forecaster->recent_rate() : 0);
+    if (!check_admission(input, now_)) return input;
     ahead_without_batch_ = predict_wait(place, statistics, {.zone = scenario_.slots}, 0)->ahead;
-    retry_ = choose_return({.service = kService,
-                            .now = now_,
-                            .deadline = caller.first_arrival + kDeadline,
-                            .first_event = kFirstEvent,
-                            .wait = input.forecast ? input.forecast->wait : Duration{0},
-                            .freed_per_second = freed_per_second(statistics, scenario_.slots),
-                            .swing = forecaster},
-                           node.returning, random_);
-    if (retry_) input.retry_after = retry_->after;
+    retry_ = choose_retry_time(
+        {.service = kService,
+         .now = now_,
+         .deadline = caller.first_arrival + kDeadline,
+         .first_event = kFirstEvent,
+         .wait = input.forecast ? input.forecast->wait : Duration{0},
+         .slots_freed_per_second = slots_freed_per_second(statistics, scenario_.slots),
+         .forecaster = forecaster},
+        node.returning, random_);
+    if (retry_) input.retry_after = retry_->delay;
     return input;
   }
   bool reject_if_due(Node& node, const Caller& caller, const QueuePosition& place) {
-    const WaitReview input = input_for(node, caller, place);
-    if (!review_wait(input, now_)) return false;
+    const AdmissionInput input = input_for(node, caller, place);
+    if (!check_admission(input, now_)) return false;
     if (free_slots_now() > 0) ++outcome_.rejected_despite_idle;
     if (batch_ > ahead_without_batch_) ++outcome_.rejected_despite_batch;
     const bool noticed = caller.rejection_certain_since != TimePoint{};
@@ -257,7 +259,7 @@
     for (Node& node : nodes_) {
       for (Caller& caller : node.waiting) {
         const bool certain =
-            review_wait(input_for(node, caller, position(node, caller)), now_).has_value();
+            check_admission(input_for(node, caller, position(node, caller)), now_).has_value();
         if (!certain) caller.rejection_certain_since = {};
         if (certain && caller.rejection_certain_since == TimePoint{})
           caller.rejection_certain_since = now_;
@@ -269,8 +271,8 @@
     // Drops the head of the queue at an increasing rate while its wait has exceeded 50 ms for the
     // last 100 ms.
     if (!caller.is_retry) {
-      if (scenario_.strategy == Strategy::kPredictedWait && retry_ && retry_->promised) {
-        node.returning.tell(caller.content, kService, now_ + *retry_after, now_);
+      if (scenario_.strategy == Strategy::kPredictedWait && retry_ && retry_->has_booking) {
+        node.returning.book(caller.content, kService, now_ + *retry_after, now_);
       }
       const Duration default_delay = 50 * kMs + scale(300 * kMs, random_.unit());
       retries_.emplace(now_ + retry_after.value_or(default_delay) + 6 * kMs, caller);
@@ -327,7 +329,7 @@
     for (Node& node : nodes_) {
       const bool answers = scenario_.strategy != Strategy::kPredictedWait;
       std::erase_if(node.waiting, [&](const Caller& caller) {
-        if (now_ < caller.last_start()) return false;
+        if (now_ < caller.latest_start()) return false;
         if (answers) {
           reject(node, caller, 200 * kMs);
         } else if (caller.counted) {
@@ -340,14 +342,14 @@
   void free_slots() {
     while (!busy_.empty() && busy_.top().first <= now_) {
       Node& node = nodes_[busy_.top().second.first];
-      node.backlog.count_freed(kService, 0, busy_.top().second.second, now_);
+      node.backlog.record_freed_slot(kService, 0, busy_.top().second.second, now_);
       busy_.pop();
     }
   }
   /// Gives free slots to nodes in proportion to their waiting requests of the best rank.
   [[nodiscard]] int rank(const Caller& caller) const {
     if (now_ >= caller.due()) return 2;
-    return caller.standing == AdmissionStanding::kReturned ? 0 : 1;
+    return caller.standing == AdmissionClass::kBookedRetry ? 0 : 1;
   }
   /// Returns whether a slot is free or a batch item can be preempted; each runner preempts one item
   /// at a time.
@@ -390,8 +392,8 @@
   [[nodiscard]] bool has_slot() const {
     return free_slots_now() > 0 || (batch_ > 0 && yield_ends_.size() < scenario_.slots / 8);
   }
-  [[nodiscard]] SlotRoom slot_capacity() const {
-    return {.zone = scenario_.slots, .of_batch = batch_};
+  [[nodiscard]] SlotCapacity slot_capacity() const {
+    return {.zone = scenario_.slots, .preemptible_batch = batch_};
   }
   /// Of the latest review, without counting slots that are available at once.
   Duration preempt_batch() {
@@ -432,9 +434,9 @@
       for (std::size_t to = 0; to < nodes_.size(); ++to) {
         const bool cut = seconds_ >= 8 && to == scenario_.partitioned_node;
         if (to == message.from || cut || network_random_.unit() < scenario_.message_loss) continue;
-        nodes_[to].backlog.take(message.from + 1000 * incarnation_, message.backlogs, now_);
-        for (const ReturnReport& entry : message.returns) {
-          nodes_[to].returning.take_report(entry, now_);
+        nodes_[to].backlog.apply_report(message.from + 1000 * incarnation_, message.backlogs, now_);
+        for (const RetryBookingReport& entry : message.returns) {
+          nodes_[to].returning.apply_report(entry, now_);
         }
       }
     }
@@ -468,7 +470,7 @@
   using Busy = std::pair<TimePoint, std::pair<std::size_t, Duration>>;
   std::priority_queue<Busy, std::vector<Busy>, std::greater<>> busy_;
   std::uint32_t ahead_without_batch_ = 0;  ///< Of the latest input.
-  std::optional<ReturnTime> retry_;   ///< Slots held by batch items that were not asked to yield.
+  std::optional<RetryTime> retry_;    ///< Slots held by batch items that were not asked to yield.
   std::uint32_t batch_ = 0;           ///< When the yielding items end.
   std::queue<TimePoint> yield_ends_;  ///< When those that were asked have ended.
   std::multimap<TimePoint, Caller> retries_;
--- a/tests/admission/admission_simulation_test.cc
+++ b/tests/admission/admission_simulation_test.cc
@@ -1,4 +1,5 @@
-// Tests admission decisions in a simulation of a whole zone without sockets (admission_replay.h).
+// Tests admission decisions in a simulation of a whole zone without sockets
+// (admission_simulation.h).
 //
 // Arrivals oscillate between 0.383 times their mean for 3.4 s and 1.87 times for 2.4 s, and double
 // or quadruple from second 8 on. The zone has 120 slots, which requests hold for 0.7 s. Callers
--- a/tests/admission/fair_share_ranker_test.cc
+++ b/tests/admission/fair_share_ranker_test.cc
@@ -93,24 +93,24 @@
 /// One node; each tenant uses a single route unless stated otherwise.
 class FairShareRankerTest : public testing::Test {
  protected:
-  static TurnRequest request(std::uint64_t tenant, std::uint64_t route = 1) {
+  static FairShareRequest request(std::uint64_t tenant, std::uint64_t route = 1) {
     return {{1, tenant}, route, milliseconds(700)};
   }
   double rank(std::uint64_t tenant, std::uint64_t route = 1) {
-    const double result = ranker.arrive(request(tenant, route), now);
-    ranker.left(request(tenant, route));
+    const double result = ranker.add_and_rank(request(tenant, route), now);
+    ranker.on_unplaced(request(tenant, route));
     return result;
   }
   void serve(int count, std::uint64_t tenant, std::uint64_t route = 1) {
     for (int i = 0; i < count; ++i) {
-      ranker.arrive(request(tenant, route), now);
-      ranker.placed(request(tenant, route), now);
+      ranker.add_and_rank(request(tenant, route), now);
+      ranker.on_placed(request(tenant, route), now);
     }
   }
 
   TimePoint now{seconds(100)};
-  ShareLedger ledger;
-  FairTurns ranker{ledger};
+  SlotTimeLedger ledger;
+  FairShareRanker ranker{ledger};
 };
 
 TEST_F(FairShareRankerTest, RanksTenantsAboveTheirShareLast) {
@@ -125,7 +125,7 @@
   serve(5, 1);
   serve(5, 2);
   double last = 0;
-  for (int i = 0; i < 40; ++i) last = ranker.arrive(request(1), now);
+  for (int i = 0; i < 40; ++i) last = ranker.add_and_rank(request(1), now);
   EXPECT_GE(last, 1);
 }
 
@@ -157,7 +157,7 @@
     serve(2, 1, 2);
   }
   EXPECT_EQ(rank(1, 1), 0);
-  for (int i = 0; i < 40; ++i) ranker.arrive(request(1, 1), now);
+  for (int i = 0; i < 40; ++i) ranker.add_and_rank(request(1, 1), now);
   EXPECT_GT(rank(1, 1), 0);
   EXPECT_LT(rank(1, 1), 1);
   EXPECT_EQ(rank(1, 2), 0);
--- a/tests/admission/fair_share_simulation.h
+++ b/tests/admission/fair_share_simulation.h
@@ -27,12 +27,12 @@
 class RankingStrategy {
  public:
   virtual ~RankingStrategy() = default;
-  virtual double arrive(const TurnRequest& request, TimePoint now) = 0;
-  virtual void placed(const TurnRequest& request, double rank, TimePoint now) = 0;
-  virtual void left(const TurnRequest& request) = 0;
+  virtual double add_and_rank(const FairShareRequest& request, TimePoint now) = 0;
+  virtual void on_placed(const FairShareRequest& request, double rank, TimePoint now) = 0;
+  virtual void on_unplaced(const FairShareRequest& request) = 0;
   /// Report for other nodes; may be empty.
-  virtual std::vector<ShareUse> report(TimePoint) { return {}; }
-  virtual void take(std::uint64_t, const std::vector<ShareUse>&, TimePoint) {}
+  virtual std::vector<SlotTimeReport> report(TimePoint) { return {}; }
+  virtual void apply_report(std::uint64_t, const std::vector<SlotTimeReport>&, TimePoint) {}
 };
 using StrategyFactory = std::function<std::unique_ptr<RankingStrategy>()>;
 
@@ -98,7 +98,7 @@
     double rank = 0;
     TimePoint due{};
     std::size_t tenant = 0;
-    TurnRequest request;
+    FairShareRequest request;
     TimePoint arrived{};
     std::uint64_t number = 0;
   };
@@ -116,7 +116,7 @@
     TimePoint at{};
     std::size_t to = 0;
     std::size_t from = 0;
-    std::vector<ShareUse> uses;
+    std::vector<SlotTimeReport> uses;
     WaitingCounts waiting;
   };
 
@@ -140,8 +140,8 @@
     Random& source = sources_[tenant];
     Node& node = nodes_[source.below(nodes_.size())];
     const auto length = milliseconds(500 + source.below(400));
-    TurnRequest request{{1, tenant + 1}, 1, length};
-    const double rank = node.strategy->arrive(request, now_);
+    FairShareRequest request{{1, tenant + 1}, 1, length};
+    const double rank = node.strategy->add_and_rank(request, now_);
     node.waiting.push_back({rank, now_ + kInTime, tenant, request, now_, next_number_++});
   }
 
@@ -153,7 +153,7 @@
     for (Node& node : nodes_) {
       std::erase_if(node.waiting, [&](const Waiting& one) {
         if (now_ - one.arrived < kLongestWait) return false;
-        node.strategy->left(one.request);
+        node.strategy->on_unplaced(one.request);
         return true;
       });
     }
@@ -164,7 +164,7 @@
       const Message message = std::move(messages_.front());
       messages_.pop_front();
       if (message.to == message.from) nodes_[message.from].reported = message.waiting;
-      nodes_[message.to].strategy->take(message.from + 1, message.uses, now_);
+      nodes_[message.to].strategy->apply_report(message.from + 1, message.uses, now_);
     }
     if (now_ - reported_ < kReportInterval) return;
     reported_ = now_;
@@ -244,7 +244,7 @@
                                           [&](const auto& left, const auto& right) {
                                             return placement_order(left) < placement_order(right);
                                           });
-      node->strategy->placed(first->request, first->rank, now_);
+      node->strategy->on_placed(first->request, first->rank, now_);
       runs_.push(now_ + first->request.slot_time);
       if (elapsed() >= 10) {
         outcome_.in_time[first->tenant] += first->due >= now_ ? 1 : 0;
--- a/tests/admission/fair_share_strategies.h
+++ b/tests/admission/fair_share_strategies.h
@@ -13,24 +13,24 @@
 /// Orders by due time alone, as nodes without fair shares do.
 class ByDueTime : public RankingStrategy {
  public:
-  double arrive(const TurnRequest&, TimePoint) override { return 0; }
-  void placed(const TurnRequest&, double, TimePoint) override {}
-  void left(const TurnRequest&) override {}
+  double add_and_rank(const FairShareRequest&, TimePoint) override { return 0; }
+  void on_placed(const FairShareRequest&, double, TimePoint) override {}
+  void on_unplaced(const FairShareRequest&) override {}
 };
 
 /// Start-time fair queueing with a virtual time per node; all tenants have the same weight.
 class StartTimeQueueing : public RankingStrategy {
  public:
-  double arrive(const TurnRequest& request, TimePoint) override {
+  double add_and_rank(const FairShareRequest& request, TimePoint) override {
     double& finish = finish_[request.key.tenant];
     const double start = std::max(virtual_time_, finish);
     finish = start + to_seconds(request.slot_time);
     return start;
   }
-  void placed(const TurnRequest&, double rank, TimePoint) override {
+  void on_placed(const FairShareRequest&, double rank, TimePoint) override {
     virtual_time_ = std::max(virtual_time_, rank);
   }
-  void left(const TurnRequest&) override {}
+  void on_unplaced(const FairShareRequest&) override {}
 
  private:
   std::unordered_map<std::uint64_t, double> finish_;
@@ -43,26 +43,27 @@
   ByUse(bool reports, std::unordered_map<std::uint64_t, double> weights) : reports_(reports) {
     ledger_.set_weights(std::move(weights));
   }
-  double arrive(const TurnRequest& request, TimePoint now) override {
-    return turns_.arrive(request, now);
+  double add_and_rank(const FairShareRequest& request, TimePoint now) override {
+    return turns_.add_and_rank(request, now);
   }
-  void placed(const TurnRequest& request, double, TimePoint now) override {
-    turns_.placed(request, now);
+  void on_placed(const FairShareRequest& request, double, TimePoint now) override {
+    turns_.on_placed(request, now);
   }
-  void left(const TurnRequest& request) override { turns_.left(request); }
-  std::vector<ShareUse> report(TimePoint now) override {
+  void on_unplaced(const FairShareRequest& request) override { turns_.on_unplaced(request); }
+  std::vector<SlotTimeReport> report(TimePoint now) override {
     constexpr std::size_t kMaxInDigest = 16;
     if (!reports_) return {};
     return ledger_.changes(std::chrono::milliseconds(250), kMaxInDigest, now);
   }
-  void take(std::uint64_t node, const std::vector<ShareUse>& uses, TimePoint now) override {
-    for (const ShareUse& use : uses) ledger_.take(node, use, now);
+  void apply_report(std::uint64_t node, const std::vector<SlotTimeReport>& uses,
+                    TimePoint now) override {
+    for (const SlotTimeReport& use : uses) ledger_.apply_report(node, use, now);
   }
 
  private:
   bool reports_;
-  ShareLedger ledger_;
-  FairTurns turns_{ledger_};
+  SlotTimeLedger ledger_;
+  FairShareRanker turns_{ledger_};
 };
 
 /// @param weights by tenant; all others have weight 1.
--- a/tests/admission/retry_bookings_test.cc
+++ b/tests/admission/retry_bookings_test.cc
@@ -12,77 +12,77 @@
 class RetryBookingsTest : public testing::Test {
  protected:
   void exchange() {
-    for (const auto& report : here.report(16, now)) there.take_report(report, now);
+    for (const auto& report : here.report(16, now)) there.apply_report(report, now);
   }
-  ReturningCallers here;
-  ReturningCallers there;
+  RetryBookings here;
+  RetryBookings there;
   TimePoint now{std::chrono::hours(1)};
 };
 
 TEST_F(RetryBookingsTest, BookingsAreKnownAtAllNodesOfTheZone) {
-  here.tell(kContent, kService, now + 500 * kMs, now);
+  here.book(kContent, kService, now + 500 * kMs, now);
   exchange();
-  EXPECT_EQ(there.expected_at(kService, now + 500 * kMs), 1U);
-  EXPECT_TRUE(there.take(kContent, now + 500 * kMs));
-  EXPECT_EQ(there.expected_at(kService, now + 500 * kMs), 0U);
+  EXPECT_EQ(there.booked_at(kService, now + 500 * kMs), 1U);
+  EXPECT_TRUE(there.consume(kContent, now + 500 * kMs));
+  EXPECT_EQ(there.booked_at(kService, now + 500 * kMs), 0U);
 }
 
 TEST_F(RetryBookingsTest, OtherRequestsHaveNoBooking) {
-  here.tell(kContent, kService, now + 500 * kMs, now);
-  EXPECT_FALSE(here.take(kContent + 1, now + 500 * kMs));
+  here.book(kContent, kService, now + 500 * kMs, now);
+  EXPECT_FALSE(here.consume(kContent + 1, now + 500 * kMs));
 }
 
 // A caller gains nothing by retrying early or by sending copies.
 TEST_F(RetryBookingsTest, RejectsEarlyAndRepeatedRetries) {
-  here.tell(kContent, kService, now + 500 * kMs, now);
-  EXPECT_FALSE(here.take(kContent, now + 200 * kMs));
-  EXPECT_TRUE(here.take(kContent, now + 510 * kMs));
-  EXPECT_FALSE(here.take(kContent, now + 520 * kMs));
+  here.book(kContent, kService, now + 500 * kMs, now);
+  EXPECT_FALSE(here.consume(kContent, now + 200 * kMs));
+  EXPECT_TRUE(here.consume(kContent, now + 510 * kMs));
+  EXPECT_FALSE(here.consume(kContent, now + 520 * kMs));
 }
 
 TEST_F(RetryBookingsTest, ConsumedBookingsAreReportedToOtherNodes) {
-  here.tell(kContent, kService, now + 500 * kMs, now);
+  here.book(kContent, kService, now + 500 * kMs, now);
   exchange();
   now += 500 * kMs;
-  EXPECT_TRUE(here.take(kContent, now));
+  EXPECT_TRUE(here.consume(kContent, now));
   exchange();
-  EXPECT_FALSE(there.take(kContent, now));
+  EXPECT_FALSE(there.consume(kContent, now));
 }
 
 TEST_F(RetryBookingsTest, LateReportsDoNotRenewConsumedBookings) {
-  here.tell(kContent, kService, now + 500 * kMs, now);
+  here.book(kContent, kService, now + 500 * kMs, now);
   const auto old_reports = here.report(16, now);
-  for (const auto& report : old_reports) there.take_report(report, now);
+  for (const auto& report : old_reports) there.apply_report(report, now);
   now += 500 * kMs;
-  EXPECT_TRUE(there.take(kContent, now));
-  for (const auto& report : old_reports) there.take_report(report, now);
-  EXPECT_FALSE(there.take(kContent, now + 500 * kMs));
+  EXPECT_TRUE(there.consume(kContent, now));
+  for (const auto& report : old_reports) there.apply_report(report, now);
+  EXPECT_FALSE(there.consume(kContent, now + 500 * kMs));
 }
 
 TEST_F(RetryBookingsTest, ToleratesALostReport) {
-  here.tell(kContent, kService, now + 500 * kMs, now);
+  here.book(kContent, kService, now + 500 * kMs, now);
   EXPECT_EQ(here.report(16, now).size(), 1U);
   exchange();
-  EXPECT_TRUE(there.take(kContent, now + 500 * kMs));
+  EXPECT_TRUE(there.consume(kContent, now + 500 * kMs));
   EXPECT_EQ(here.report(16, now).size(), 1U);
   EXPECT_TRUE(here.report(16, now).empty());
 }
 
 TEST_F(RetryBookingsTest, TableIsBoundedAndExpires) {
   for (std::uint64_t content = 1; content <= 10'000; ++content) {
-    here.tell(content, kService, now + 500 * kMs, now);
+    here.book(content, kService, now + 500 * kMs, now);
   }
   EXPECT_LE(here.size(), 4096U);
-  EXPECT_EQ(here.expected_at(kService, now + 500 * kMs), here.size());
+  EXPECT_EQ(here.booked_at(kService, now + 500 * kMs), here.size());
   here.expire(now + std::chrono::seconds(20));
   EXPECT_TRUE(here.empty());
-  EXPECT_EQ(here.expected_at(kService, now + 500 * kMs), 0U);
+  EXPECT_EQ(here.booked_at(kService, now + 500 * kMs), 0U);
 }
 
 // The machine was suspended past the retry time.
 TEST_F(RetryBookingsTest, BookingsExpireDuringASuspension) {
-  here.tell(kContent, kService, now + 500 * kMs, now);
-  EXPECT_FALSE(here.take(kContent, now + std::chrono::seconds(60)));
+  here.book(kContent, kService, now + 500 * kMs, now);
+  EXPECT_FALSE(here.consume(kContent, now + std::chrono::seconds(60)));
 }
 
 }  // namespace
--- a/tests/admission/retry_times_test.cc
+++ b/tests/admission/retry_times_test.cc
@@ -21,7 +21,7 @@
     const TimePoint start = now;
     while (now - start < length) {
       const double phase = std::fmod(to_seconds(now - start), 5.8);
-      now += ArrivalSwing::kBin;
+      now += ArrivalRateForecaster::kBin;
       forecaster.observe(phase < 3.4 ? 46 : 224, now);
     }
   }
@@ -31,16 +31,16 @@
             .deadline = now + 5000 * kMs,
             .first_event = 45 * kMs,
             .wait = 300 * kMs,
-            .freed_per_second = 171,
-            .swing = &forecaster};
+            .slots_freed_per_second = 171,
+            .forecaster = &forecaster};
   }
-  std::optional<ReturnTime> choose_and_book() {
-    const auto retry = choose_return(query(), bookings, random);
-    if (retry && retry->promised) bookings.tell(++contents, kService, now + retry->after, now);
+  std::optional<RetryTime> choose_and_book() {
+    const auto retry = choose_retry_time(query(), bookings, random);
+    if (retry && retry->has_booking) bookings.book(++contents, kService, now + retry->delay, now);
     return retry;
   }
-  ArrivalSwing forecaster;
-  ReturningCallers bookings;
+  ArrivalRateForecaster forecaster;
+  RetryBookings bookings;
   Random random{1};
   std::uint64_t contents = 0;
   TimePoint now{std::chrono::hours(1)};
@@ -59,7 +59,7 @@
   for (int i = 0; i < kCallers; ++i) {
     const auto retry = choose_and_book();
     ASSERT_TRUE(retry);
-    times.push_back(retry->after);
+    times.push_back(retry->delay);
   }
   const auto [first, last] = std::minmax_element(times.begin(), times.end());
   EXPECT_GE(*first, 800 * kMs);
@@ -73,7 +73,7 @@
   int returns = 0;
   for (int i = 0; i < 50; ++i) {
     const auto retry = choose_and_book();
-    if (retry && retry->after <= 1000 * kMs) ++returns;
+    if (retry && retry->delay <= 1000 * kMs) ++returns;
   }
   EXPECT_EQ(returns, 0);
 }
@@ -83,7 +83,7 @@
   int booked = 0;
   for (int i = 0; i < 2000; ++i) {
     const auto retry = choose_and_book();
-    booked += retry && retry->promised ? 1 : 0;
+    booked += retry && retry->has_booking ? 1 : 0;
   }
   EXPECT_LT(booked, 171 * 1.7);
   EXPECT_GT(booked, 50);
@@ -92,20 +92,20 @@
 // Callers without a retry time came back within 0.4 s, in the same peak.
 TEST_F(RetryTimesTest, GivesTheLatestTimeWithoutBookingIfNoSlotIsLeft) {
   simulate_oscillation(2 * 5800 * kMs + 3400 * kMs + 300 * kMs);
-  std::optional<ReturnTime> retry;
-  for (int i = 0; i < 2000 && (!retry || retry->promised); ++i) retry = choose_and_book();
-  ASSERT_TRUE(retry && !retry->promised);
-  EXPECT_GE(retry->after, 1300 * kMs);
-  EXPECT_LE(retry->after, 5000 * kMs / 3);
+  std::optional<RetryTime> retry;
+  for (int i = 0; i < 2000 && (!retry || retry->has_booking); ++i) retry = choose_and_book();
+  ASSERT_TRUE(retry && !retry->has_booking);
+  EXPECT_GE(retry->delay, 1300 * kMs);
+  EXPECT_LE(retry->delay, 5000 * kMs / 3);
 }
 
 TEST_F(RetryTimesTest, GivesNoTimeIfARetryCannotSucceed) {
   simulate_oscillation(2 * 5800 * kMs);
   RetryQuery late = query();
   late.deadline = now + 150 * kMs;
-  EXPECT_FALSE(choose_return(late, bookings, random));
+  EXPECT_FALSE(choose_retry_time(late, bookings, random));
   late.deadline = now - 10 * kMs;
-  EXPECT_FALSE(choose_return(late, bookings, random));
+  EXPECT_FALSE(choose_retry_time(late, bookings, random));
 }
 
 TEST_F(RetryTimesTest, StaysWithinTheCallersPatience) {
@@ -113,27 +113,27 @@
   for (int left_ms = 500; left_ms < 5000; left_ms += 250) {
     RetryQuery some = query();
     some.deadline = now + left_ms * kMs;
-    const auto retry = choose_return(some, bookings, random);
-    EXPECT_LE(retry.value_or(ReturnTime{}).after, left_ms * kMs / 3);
+    const auto retry = choose_retry_time(some, bookings, random);
+    EXPECT_LE(retry.value_or(RetryTime{}).delay, left_ms * kMs / 3);
   }
 }
 
 TEST_F(RetryTimesTest, WithoutStatisticsUsesTheDefaultDelayWithJitter) {
   RetryQuery unknown = query();
-  unknown.freed_per_second = 0;
-  unknown.swing = nullptr;
-  const auto first = choose_return(unknown, bookings, random);
-  const auto second = choose_return(unknown, bookings, random);
+  unknown.slots_freed_per_second = 0;
+  unknown.forecaster = nullptr;
+  const auto first = choose_retry_time(unknown, bookings, random);
+  const auto second = choose_retry_time(unknown, bookings, random);
   ASSERT_TRUE(first && second);
-  EXPECT_NE(first->after, second->after);
-  EXPECT_LE(std::max(first->after, second->after), 300 * kMs);
+  EXPECT_NE(first->delay, second->delay);
+  EXPECT_LE(std::max(first->delay, second->delay), 300 * kMs);
 }
 
 // An overload scales the oscillation: the low phase rises by the same factor as the peak.
 TEST_F(RetryTimesTest, ScalesTheLowPhaseWithTheCurrentPeak) {
   simulate_oscillation(2 * 5800 * kMs + 3400 * kMs);
   for (int i = 0; i < 12; ++i) {
-    now += ArrivalSwing::kBin;
+    now += ArrivalRateForecaster::kBin;
     forecaster.observe(2 * 224, now);
   }
   EXPECT_NEAR(forecaster.expected_rate(now + 1500 * kMs, now), 2 * 46, 30);
--- a/tests/admission/shared_budget_test.cc
+++ b/tests/admission/shared_budget_test.cc
@@ -13,67 +13,67 @@
 
 constexpr double kSingleJobAmount = 256;
 
-RoomHolder holder(std::uint64_t service, std::uint64_t tenant, std::uint64_t job) {
+BudgetOwner holder(std::uint64_t service, std::uint64_t tenant, std::uint64_t job) {
   return {service, service * 1000 + tenant, job};
 }
 
 /// Acquires one unit at a time for as long as the owner may.
 /// @return the acquired amount.
-int take_all(SharedRoom& budget, const RoomHolder& owner, int max_count = 1000) {
+int take_all(SharedBudget& budget, const BudgetOwner& owner, int max_count = 1000) {
   int taken = 0;
-  while (taken < max_count && budget.may_take(owner)) {
-    budget.take(owner, 1);
+  while (taken < max_count && budget.may_acquire(owner)) {
+    budget.acquire(owner, 1);
     ++taken;
   }
   return taken;
 }
 
 TEST(SharedBudgetTest, SingleJobGetsTheAmountForOneJob) {
-  SharedRoom budget(SharedRoom::size_for_one_job(kSingleJobAmount));
+  SharedBudget budget(SharedBudget::size_for_one_job(kSingleJobAmount));
   EXPECT_EQ(take_all(budget, holder(1, 1, 1)), kSingleJobAmount);
 }
 
 TEST(SharedBudgetTest, ManyJobsOfOneServiceLeaveBudgetForOtherServices) {
-  SharedRoom budget(SharedRoom::size_for_one_job(kSingleJobAmount));
+  SharedBudget budget(SharedBudget::size_for_one_job(kSingleJobAmount));
   for (std::uint64_t job = 0; job < 100; ++job) take_all(budget, holder(1, job, job));
   EXPECT_GE(take_all(budget, holder(2, 1, 1000)), 3);
   EXPECT_GE(take_all(budget, holder(3, 1, 1001)), 1);
 }
 
 TEST(SharedBudgetTest, StuckJobsOfOneTenantLeaveBudgetForOtherTenants) {
-  SharedRoom budget(SharedRoom::size_for_one_job(kSingleJobAmount));
+  SharedBudget budget(SharedBudget::size_for_one_job(kSingleJobAmount));
   for (std::uint64_t job = 0; job < 10; ++job) take_all(budget, holder(1, 1, job), 100);
   EXPECT_GE(take_all(budget, holder(1, 2, 1000)), 3);
 }
 
 TEST(SharedBudgetTest, AStuckJobLeavesBudgetForOtherJobsOfItsTenant) {
-  SharedRoom budget(SharedRoom::size_for_one_job(kSingleJobAmount));
+  SharedBudget budget(SharedBudget::size_for_one_job(kSingleJobAmount));
   take_all(budget, holder(1, 1, 1));
   EXPECT_GE(take_all(budget, holder(1, 1, 2)), 3);
 }
 
 TEST(SharedBudgetTest, EachServiceMayAcquireFromAFullBudget) {
-  SharedRoom budget(10);
+  SharedBudget budget(10);
   // One read may return more than was free.
-  budget.take(holder(1, 1, 1), 20);
-  EXPECT_FALSE(budget.may_take(holder(1, 2, 2)));
-  EXPECT_TRUE(budget.may_take(holder(2, 1, 3)));
+  budget.acquire(holder(1, 1, 1), 20);
+  EXPECT_FALSE(budget.may_acquire(holder(1, 2, 2)));
+  EXPECT_TRUE(budget.may_acquire(holder(2, 1, 3)));
 }
 
 TEST(SharedBudgetTest, ReleasedAmountsAreAvailableToOthers) {
-  SharedRoom budget(9);
-  const RoomHolder first = holder(1, 1, 1);
+  SharedBudget budget(9);
+  const BudgetOwner first = holder(1, 1, 1);
   EXPECT_EQ(take_all(budget, first), 6);
-  for (int item = 0; item < 6; ++item) budget.give_back(first, 1);
+  for (int item = 0; item < 6; ++item) budget.release(first, 1);
   EXPECT_EQ(budget.held(), 0);
   EXPECT_EQ(take_all(budget, holder(1, 1, 2)), 6);
 }
 
 TEST(SharedBudgetTest, GrowingTheBudgetAllowsMore) {
-  SharedRoom budget(SharedRoom::size_for_one_job(6));
-  const RoomHolder only = holder(1, 1, 1);
+  SharedBudget budget(SharedBudget::size_for_one_job(6));
+  const BudgetOwner only = holder(1, 1, 1);
   EXPECT_EQ(take_all(budget, only), 6);
-  budget.set_size(SharedRoom::size_for_one_job(kSingleJobAmount));
+  budget.set_size(SharedBudget::size_for_one_job(kSingleJobAmount));
   EXPECT_EQ(take_all(budget, only), kSingleJobAmount - 6);
 }
 
