--- a/tests/admission/slot_time_ledger_test.cc
+++ b/tests/admission/slot_time_ledger_test.cc
@@ -8,24 +8,24 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr ShareKey kAlder{1, 10};
-constexpr ShareKey kBirch{1, 11};
+constexpr TenantServiceKey kAlder{1, 10};
+constexpr TenantServiceKey kBirch{1, 11};
 constexpr std::uint64_t kNode = 7;
 
 class SlotTimeLedgerTest : public testing::Test {
  protected:
   void apply_report(std::uint32_t slot_ms, std::uint64_t node = kNode) {
-    ledger.take(node, {kAlder.service, kAlder.tenant, slot_ms}, now);
+    ledger.apply_report(node, {kAlder.service, kAlder.tenant, slot_ms}, now);
   }
-  [[nodiscard]] double alder() const { return ledger.seconds(kAlder, now); }
+  [[nodiscard]] double alder() const { return ledger.used_seconds(kAlder, now); }
 
   TimePoint now{seconds(100)};
-  ShareLedger ledger;
+  SlotTimeLedger ledger;
 };
 
 TEST_F(SlotTimeLedgerTest, AddsOwnAndReportedUse) {
   apply_report(0);
-  ledger.use(kAlder, milliseconds(700), now);
+  ledger.charge(kAlder, milliseconds(700), now);
   apply_report(1500);
   EXPECT_NEAR(alder(), 2.2, 0.001);
 }
@@ -64,7 +64,7 @@
 }
 
 TEST_F(SlotTimeLedgerTest, CountsNewTenantsOfAKnownNodeFromZero) {
-  ledger.take(kNode, {kBirch.service, kBirch.tenant, 5}, now);
+  ledger.apply_report(kNode, {kBirch.service, kBirch.tenant, 5}, now);
   apply_report(1000);
   EXPECT_NEAR(alder(), 1, 0.001);
 }
@@ -104,35 +104,35 @@
 }
 
 TEST_F(SlotTimeLedgerTest, UseDecays) {
-  ledger.use(kAlder, seconds(10), now);
+  ledger.charge(kAlder, seconds(10), now);
   now += 4 * kUsageDecayTime;
   EXPECT_LT(alder(), 0.2);
   now += seconds(30);
-  ledger.forget(now);
+  ledger.remove_inactive(now);
   EXPECT_EQ(ledger.size(), 0U);
 }
 
 TEST_F(SlotTimeLedgerTest, BoundsTheNumberOfTenants) {
   for (std::uint64_t tenant = 0; tenant < 100'000; ++tenant) {
-    ledger.wait({1, tenant}, milliseconds(500), now);
-    ledger.use({1, tenant}, milliseconds(500), now);
+    ledger.add_waiting({1, tenant}, milliseconds(500), now);
+    ledger.charge({1, tenant}, milliseconds(500), now);
   }
   EXPECT_LE(ledger.size(), 1024U);
 }
 
 TEST_F(SlotTimeLedgerTest, WaitingRequestsCountUntilPlacedOrAbandoned) {
-  ledger.wait(kAlder, milliseconds(700), now);
+  ledger.add_waiting(kAlder, milliseconds(700), now);
   EXPECT_NEAR(alder(), 0.7, 0.001);
-  ledger.end_wait(kAlder, milliseconds(700));
-  ledger.end_wait(kAlder, milliseconds(700));
+  ledger.remove_waiting(kAlder, milliseconds(700));
+  ledger.remove_waiting(kAlder, milliseconds(700));
   EXPECT_EQ(alder(), 0);
 }
 
 TEST_F(SlotTimeLedgerTest, ReportsEachChangedCounterOnceNewestFirst) {
-  ledger.use(kAlder, milliseconds(700), now);
+  ledger.charge(kAlder, milliseconds(700), now);
   now += milliseconds(100);
-  ledger.use(kBirch, milliseconds(500), now);
-  ledger.use(kBirch, milliseconds(500), now);
+  ledger.charge(kBirch, milliseconds(500), now);
+  ledger.charge(kBirch, milliseconds(500), now);
   const auto changes = ledger.changes(milliseconds(250), 16, now);
   ASSERT_EQ(changes.size(), 2U);
   EXPECT_EQ(changes[0].tenant, kBirch.tenant);
@@ -143,8 +143,8 @@
 }
 
 TEST_F(SlotTimeLedgerTest, KeepsServicesSeparate) {
-  ledger.use(kAlder, seconds(1), now);
-  ledger.use({2, kAlder.tenant}, seconds(5), now);
+  ledger.charge(kAlder, seconds(1), now);
+  ledger.charge({2, kAlder.tenant}, seconds(5), now);
   EXPECT_NEAR(ledger.total(1, now).seconds, 1, 0.001);
   EXPECT_NEAR(ledger.total(1, now).weight, 1, 0.001);
 }
--- a/tests/admission/zone_backlog_test.cc
+++ b/tests/admission/zone_backlog_test.cc
@@ -27,78 +27,78 @@
 };
 
 TEST_F(ZoneBacklogTest, ComputesStatisticsFromCounterDifferences) {
-  for (int i = 0; i < 100; ++i, now += 20 * kMs) backlog.take(1, report(3, 4), now);
-  const ServiceFigures statistics = backlog.figures(kService, 0, now);
+  for (int i = 0; i < 100; ++i, now += 20 * kMs) backlog.apply_report(1, report(3, 4), now);
+  const ServiceStatistics statistics = backlog.statistics(kService, 0, now);
   EXPECT_EQ(statistics.peers.requests, 3U);
   EXPECT_EQ(statistics.slot_time, 700 * kMs);
-  EXPECT_NEAR(statistics.freed_per_second, 200, 15);
-  EXPECT_NEAR(backlog.swing(kService, now)->rate(), 200, 15);
+  EXPECT_NEAR(statistics.slots_freed_per_second, 200, 15);
+  EXPECT_NEAR(backlog.arrival_forecaster(kService, now)->recent_rate(), 200, 15);
   EXPECT_EQ(statistics.oldest_report, 20 * kMs);
 }
 
 TEST_F(ZoneBacklogTest, ToleratesLostReports) {
   for (int i = 0; i < 100; ++i, now += 20 * kMs) {
     const auto next = report(3, 4);
-    if (i % 3 == 0) backlog.take(1, next, now);
+    if (i % 3 == 0) backlog.apply_report(1, next, now);
   }
-  EXPECT_NEAR(backlog.figures(kService, 0, now).freed_per_second, 200, 20);
+  EXPECT_NEAR(backlog.statistics(kService, 0, now).slots_freed_per_second, 200, 20);
 }
 
 TEST_F(ZoneBacklogTest, CountsDuplicateReportsOnce) {
   for (int i = 0; i < 100; ++i, now += 20 * kMs) {
     const auto next = report(3, 4);
-    backlog.take(1, next, now);
-    backlog.take(1, next, now);
+    backlog.apply_report(1, next, now);
+    backlog.apply_report(1, next, now);
   }
-  const ServiceFigures statistics = backlog.figures(kService, 0, now);
-  EXPECT_NEAR(statistics.freed_per_second, 200, 15);
+  const ServiceStatistics statistics = backlog.statistics(kService, 0, now);
+  EXPECT_NEAR(statistics.slots_freed_per_second, 200, 15);
   EXPECT_EQ(statistics.peers.requests, 3U);
 }
 
 TEST_F(ZoneBacklogTest, IgnoresOutOfOrderReports) {
   const auto older = report(3, 4);
   const auto newer = report(3, 4);
-  backlog.take(1, newer, now);
-  backlog.take(1, older, now + kMs);
-  EXPECT_LT(backlog.figures(kService, 0, now + kMs).freed_per_second, 10);
+  backlog.apply_report(1, newer, now);
+  backlog.apply_report(1, older, now + kMs);
+  EXPECT_LT(backlog.statistics(kService, 0, now + kMs).slots_freed_per_second, 10);
 }
 
 // Without current reports no work is known to wait, so that more is admitted, not less.
 TEST_F(ZoneBacklogTest, IgnoresWaitingWorkOfOldReports) {
-  backlog.take(1, report(50, 4), now);
-  EXPECT_EQ(backlog.figures(kService, 0, now + 200 * kMs).peers.requests, 50U);
-  EXPECT_EQ(backlog.figures(kService, 0, now + 300 * kMs).peers.requests, 0U);
+  backlog.apply_report(1, report(50, 4), now);
+  EXPECT_EQ(backlog.statistics(kService, 0, now + 200 * kMs).peers.requests, 50U);
+  EXPECT_EQ(backlog.statistics(kService, 0, now + 300 * kMs).peers.requests, 0U);
 }
 
 TEST_F(ZoneBacklogTest, ExcludesLessUrgentWorkOfPeers) {
   auto entries = report(3, 4);
   entries.push_back(entries.front());
   entries.back().priority = 2;
-  backlog.take(1, entries, now);
-  EXPECT_EQ(backlog.figures(kService, 1, now).peers.requests, 3U);
-  EXPECT_EQ(backlog.figures(kService, 2, now).peers.requests, 6U);
+  backlog.apply_report(1, entries, now);
+  EXPECT_EQ(backlog.statistics(kService, 1, now).peers.requests, 3U);
+  EXPECT_EQ(backlog.statistics(kService, 2, now).peers.requests, 6U);
 }
 
 // After a suspension of 10 s the next report contains the others' counts of that time.
 TEST_F(ZoneBacklogTest, GivesNoRateAfterASuspension) {
-  for (int i = 0; i < 100; ++i, now += 20 * kMs) backlog.take(1, report(3, 4), now);
+  for (int i = 0; i < 100; ++i, now += 20 * kMs) backlog.apply_report(1, report(3, 4), now);
   now += std::chrono::seconds(10);
-  backlog.take(1, report(3, 2000), now);
-  const ServiceFigures statistics = backlog.figures(kService, 0, now);
+  backlog.apply_report(1, report(3, 2000), now);
+  const ServiceStatistics statistics = backlog.statistics(kService, 0, now);
   EXPECT_FALSE(statistics.slot_time);
-  EXPECT_EQ(statistics.freed_per_second, 0);
+  EXPECT_EQ(statistics.slots_freed_per_second, 0);
 }
 
 TEST_F(ZoneBacklogTest, CountsRestartedNodesFromTheirFirstReport) {
-  for (int i = 0; i < 10; ++i, now += 20 * kMs) backlog.take(1, report(3, 4), now);
+  for (int i = 0; i < 10; ++i, now += 20 * kMs) backlog.apply_report(1, report(3, 4), now);
   counter = 10'000;
-  backlog.take(2, report(3, 0), now);
-  EXPECT_LT(backlog.figures(kService, 0, now).freed_per_second, 100);
+  backlog.apply_report(2, report(3, 0), now);
+  EXPECT_LT(backlog.statistics(kService, 0, now).slots_freed_per_second, 100);
 }
 
 TEST_F(ZoneBacklogTest, ReportsOwnCountersAndWaitingWork) {
-  backlog.count_arrival(kService, 1, now);
-  backlog.count_freed(kService, 1, 500 * kMs, now);
+  backlog.record_arrival(kService, 1, now);
+  backlog.record_freed_slot(kService, 1, 500 * kMs, now);
   const auto entries = backlog.report({{{kService, 1}, {2, 1400 * kMs}}});
   ASSERT_EQ(entries.size(), 1U);
   EXPECT_EQ(entries[0].waiting, 2U);
--- a/tests/base/memory_budget_test.cc
+++ b/tests/base/memory_budget_test.cc
@@ -17,12 +17,12 @@
   ASSERT_TRUE(reservation);
   EXPECT_EQ(budget.used(), 1000 * kMegabyte);
   EXPECT_TRUE(budget.can_ever_fit(MemoryAccount::kJobRequests, 1UL << 60));
-  EXPECT_EQ(budget_of_process(0), 0U);
+  EXPECT_EQ(process_memory_budget(0), 0U);
 }
 
 TEST(MemoryBudgetTest, EveryLimitLeavesABudget) {
   for (const std::uint64_t limit : {16UL, 64UL, 120UL, 160UL, 512UL, 4096UL}) {
-    const std::uint64_t budget = budget_of_process(limit * kMegabyte);
+    const std::uint64_t budget = process_memory_budget(limit * kMegabyte);
     EXPECT_GE(budget, limit * kMegabyte / 4) << limit;
     EXPECT_LT(budget, limit * kMegabyte) << limit;
   }
@@ -36,7 +36,7 @@
     ASSERT_TRUE(first);
     MemoryReservation moved = std::move(*first);
     EXPECT_EQ(budget.used(MemoryAccount::kRequestBodies), 10 * kMegabyte);
-    moved = budget.charge(MemoryAccount::kAnswers, kMegabyte);
+    moved = budget.charge(MemoryAccount::kResponses, kMegabyte);
     EXPECT_EQ(budget.used(MemoryAccount::kRequestBodies), 0U);
     EXPECT_EQ(budget.used(), kMegabyte);
     moved.resize(3 * kMegabyte);
@@ -69,15 +69,15 @@
   MemoryBudget budget;
   budget.set_limit(kBudget);
   auto jobs = budget.charge(MemoryAccount::kJobRequests, 50 * kMegabyte);
-  EXPECT_FALSE(budget.has_room(MemoryAccount::kJobRequests, 1));
+  EXPECT_FALSE(budget.fits(MemoryAccount::kJobRequests, 1));
   const auto bodies = budget.reserve(MemoryAccount::kRequestBodies, 25 * kMegabyte);
   ASSERT_TRUE(bodies);
-  EXPECT_FALSE(budget.has_room(MemoryAccount::kRequestBodies, 1));
-  const auto answers = budget.reserve(MemoryAccount::kAnswers, 10 * kMegabyte);
+  EXPECT_FALSE(budget.fits(MemoryAccount::kRequestBodies, 1));
+  const auto answers = budget.reserve(MemoryAccount::kResponses, 10 * kMegabyte);
   ASSERT_TRUE(answers);
-  EXPECT_FALSE(budget.has_room(MemoryAccount::kAnswers, 1));
-  EXPECT_TRUE(budget.has_room(MemoryAccount::kConnections, 10 * kMegabyte));
-  EXPECT_FALSE(budget.has_room(MemoryAccount::kConnections, 11 * kMegabyte));
+  EXPECT_FALSE(budget.fits(MemoryAccount::kResponses, 1));
+  EXPECT_TRUE(budget.fits(MemoryAccount::kConnections, 10 * kMegabyte));
+  EXPECT_FALSE(budget.fits(MemoryAccount::kConnections, 11 * kMegabyte));
 }
 
 // Allocated bytes are counted even if they do not fit.
@@ -86,9 +86,9 @@
   budget.set_limit(kBudget);
   auto results = budget.charge(MemoryAccount::kJobResults, 2 * kBudget);
   EXPECT_EQ(budget.used(), 2 * kBudget);
-  EXPECT_FALSE(budget.reserve(MemoryAccount::kAnswers, 1));
+  EXPECT_FALSE(budget.reserve(MemoryAccount::kResponses, 1));
   results.release();
-  EXPECT_TRUE(budget.reserve(MemoryAccount::kAnswers, 1));
+  EXPECT_TRUE(budget.reserve(MemoryAccount::kResponses, 1));
 }
 
 TEST(MemoryBudgetTest, DetectsBytesThatCanNeverFit) {
@@ -97,7 +97,7 @@
   EXPECT_TRUE(budget.can_ever_fit(MemoryAccount::kRequestBodies, 75 * kMegabyte));
   EXPECT_FALSE(budget.can_ever_fit(MemoryAccount::kRequestBodies, 76 * kMegabyte));
   EXPECT_FALSE(budget.can_ever_fit(MemoryAccount::kRequestBodies, ~0UL));
-  EXPECT_FALSE(budget.has_room(MemoryAccount::kRequestBodies, ~0UL));
+  EXPECT_FALSE(budget.fits(MemoryAccount::kRequestBodies, ~0UL));
 }
 
 // The reclaimer is called only while it releases memory, and never for a reservation that could not
@@ -107,7 +107,7 @@
   budget.set_limit(kBudget);
   std::vector<MemoryReservation> responses;
   for (int client = 0; client < 9; ++client) {
-    responses.push_back(budget.charge(MemoryAccount::kAnswers, 10 * kMegabyte));
+    responses.push_back(budget.charge(MemoryAccount::kResponses, 10 * kMegabyte));
   }
   int reclaim_calls = 0;
   budget.set_reclaimer([&] {
--- a/tests/core/runner_table_test.cc
+++ b/tests/core/runner_table_test.cc
@@ -20,7 +20,7 @@
   void fail(RunnerId runner, std::uint32_t times) {
     for (std::uint32_t i = 0; i < times; ++i) {
       table_.on_stream_started(runner);
-      table_.on_stream_ended(runner, StreamVerdict::kFailed, now_);
+      table_.on_stream_ended(runner, StreamResult::kFailed, now_);
     }
   }
 
@@ -68,7 +68,7 @@
   EXPECT_EQ(table_.find(runner)->health, RunnerHealth::kProbation);
   table_.on_stream_started(runner);
   EXPECT_NE(pick().runner, runner) << "one request at a time during probation";
-  table_.on_stream_ended(runner, StreamVerdict::kSucceeded, now_);
+  table_.on_stream_ended(runner, StreamResult::kSucceeded, now_);
   EXPECT_EQ(table_.find(runner)->health, RunnerHealth::kHealthy);
 }
 
@@ -85,7 +85,7 @@
 TEST_F(RunnerTableTest, NeutralStreamEndLeavesHealthUnchanged) {
   const RunnerId runner = pick().runner;
   fail(runner, knobs_.eject_after_failures);
-  table_.on_stream_ended(runner, StreamVerdict::kNeutral, now_);
+  table_.on_stream_ended(runner, StreamResult::kNeutral, now_);
   EXPECT_EQ(table_.find(runner)->health, RunnerHealth::kEjected);
 }
 
@@ -93,7 +93,7 @@
   const RunnerId runner = pick().runner;
   RunnerLoad load;
   load.runner = runner;
-  load.online_streams = knobs_.affinity_slack + 2;
+  load.online_streams = knobs_.max_affinity_load_difference + 2;
   table_.on_load(load, now_);
   std::set<RunnerId> chosen;
   for (int i = 0; i < 50; ++i) {
--- a/tests/fuzz/commands.h
+++ b/tests/fuzz/commands.h
@@ -6,7 +6,7 @@
 #include <ostream>
 #include <vector>
 
-#include "fuzz/world.h"
+#include "fuzz/simulated_cluster.h"
 
 namespace stoathold::fuzz {
 
--- a/tests/fuzz/fuzz_main.cc
+++ b/tests/fuzz/fuzz_main.cc
@@ -33,12 +33,12 @@
     {"claim_before_dispatch", &PolicySwitches::claim_before_dispatch},
     {"no_retry_after_unknown", &PolicySwitches::no_retry_after_unknown},
     {"drop_repeated_tokens", &PolicySwitches::drop_repeated_tokens},
-    {"configuration_strictly_upward", &PolicySwitches::configuration_strictly_upward},
+    {"configuration_strictly_upward", &PolicySwitches::monotonic_configuration_offsets},
     {"conflict_on_version", &PolicySwitches::conflict_on_version},
     {"finish_before_exit", &PolicySwitches::finish_before_exit},
     {"skip_leaving_runners", &PolicySwitches::skip_leaving_runners},
-    {"answer_only_folded", &PolicySwitches::answer_only_folded},
-    {"honest_not_run", &PolicySwitches::honest_not_run},
+    {"answer_only_folded", &PolicySwitches::acknowledge_only_applied},
+    {"honest_not_run", &PolicySwitches::report_unknown_execution},
 };
 
 /// Generates client commands and faults at a ratio of 3 to 2, so that faults hit ongoing work.
--- a/tests/fuzz/recovery_test.cc
+++ b/tests/fuzz/recovery_test.cc
@@ -1,7 +1,7 @@
 /// Directed tests on the simulated cluster: each injects one fault and checks the recovery.
 #include <gtest/gtest.h>
 
-#include "fuzz/world.h"
+#include "fuzz/simulated_cluster.h"
 
 namespace stoathold::fuzz {
 namespace {
@@ -48,7 +48,7 @@
   cluster.run_for(seconds(8));
   const auto interval = cluster.core(2)->knobs().snapshot_interval;
   for (std::size_t i = 2; i < cluster.node_count(); ++i) {
-    for (const auto& statistics : cluster.core(i)->shards().figures()) {
+    for (const auto& statistics : cluster.core(i)->shards().statistics()) {
       EXPECT_LE(statistics.replayed_entries, 2 * interval);
     }
   }
--- a/tests/fuzz/simulated_cluster.cc
+++ b/tests/fuzz/simulated_cluster.cc
@@ -1,8 +1,8 @@
+#include "fuzz/simulated_cluster.h"
+
 #include <algorithm>
 #include <utility>
 
-#include "fuzz/world.h"
-
 namespace stoathold::fuzz {
 namespace {
 
@@ -40,7 +40,7 @@
   knobs_.shard_count = kShards;
   knobs_.snapshot_interval = 20;
   knobs_.items_per_record = 4;
-  knobs_.configuration_tail = 2;
+  knobs_.max_recent_configuration_entries = 2;
   nodes_.resize(size.nodes);
   for (std::size_t i = 0; i < size.engines; ++i) {
     Engine engine;
--- a/tests/gateway/event_framer_test.cc
+++ b/tests/gateway/event_framer_test.cc
@@ -20,7 +20,7 @@
     }
     EXPECT_EQ(joined, stream);
     EXPECT_EQ(ids, (std::vector<std::uint64_t>{1, 2}));
-    EXPECT_TRUE(framer.rest().empty());
+    EXPECT_TRUE(framer.remainder().empty());
   }
 }
 
@@ -29,7 +29,7 @@
   framer.feed("id: 1\ndata: a\n\nid: 2\nda");
   EXPECT_TRUE(framer.next());
   EXPECT_FALSE(framer.next());
-  EXPECT_EQ(framer.rest(), "id: 2\nda");
+  EXPECT_EQ(framer.remainder(), "id: 2\nda");
 }
 
 TEST(EventFramerTest, AcceptsCarriageReturnsAndMissingIds) {
--- a/tests/gateway/fair_shares_test.cc
+++ b/tests/gateway/fair_shares_test.cc
@@ -14,7 +14,7 @@
 class FairSharesTest : public testing::Test {
  protected:
   FairSharesTest() {
-    policy.shares_fairly = true;
+    policy.uses_fair_shares = true;
     ServingConfiguration configuration;
     configuration.routes = {route("ask", 0, RouteKind::kStreaming),
                             route("tell", 1, RouteKind::kStreaming),
@@ -44,20 +44,20 @@
   }
   void serve(const std::string& tenant, int count) {
     for (int i = 0; i < count; ++i) {
-      decisions.turn(request(tenant), now);
-      decisions.placed(request(tenant), now);
+      decisions.fair_share_rank(request(tenant), now);
+      decisions.on_placed(request(tenant), now);
     }
   }
   double turn(const std::string& tenant) {
-    const double result = decisions.turn(request(tenant), now);
-    decisions.left(request(tenant), now);
+    const double result = decisions.fair_share_rank(request(tenant), now);
+    decisions.on_unplaced(request(tenant), now);
     return result;
   }
 
   TimePoint now{seconds(100)};
   LoadPolicy policy;
   FairShares shares{policy};
-  PlacementDecisions decisions;
+  PlacementPolicy decisions;
 };
 
 TEST_F(FairSharesTest, WeighsTenantsByTheirRateLimits) {
@@ -71,7 +71,7 @@
 }
 
 TEST_F(FairSharesTest, WithoutThePolicyTurnsAreEqualAndNothingIsReported) {
-  policy.shares_fairly = false;
+  policy.uses_fair_shares = false;
   serve("alder", 60);
   serve("birch", 1);
   EXPECT_EQ(turn("alder"), 0);
@@ -82,34 +82,34 @@
 
 TEST_F(FairSharesTest, OnlyOnlineWorkOfTheLowestPriorityYieldsToOtherNodes) {
   PlacementRequest above = request("alder", 1);
-  above.turn = 3;
-  EXPECT_TRUE(decisions.yields(above));
+  above.fair_share_rank = 3;
+  EXPECT_TRUE(decisions.yields_to_peers(above));
   above.priority = 0;
-  EXPECT_FALSE(decisions.yields(above));
+  EXPECT_FALSE(decisions.yields_to_peers(above));
   PlacementRequest within = request("alder", 1);
-  within.turn = 0.3;
-  EXPECT_FALSE(decisions.yields(within));
+  within.fair_share_rank = 0.3;
+  EXPECT_FALSE(decisions.yields_to_peers(within));
   PlacementRequest batch = above;
   batch.work = WorkClass::kBatch;
   batch.priority = 2;
-  EXPECT_FALSE(decisions.yields(batch));
+  EXPECT_FALSE(decisions.yields_to_peers(batch));
 }
 
 TEST_F(FairSharesTest, CountsUsageReportedByOtherNodes) {
   LoadPolicy on;
-  on.shares_fairly = true;
+  on.uses_fair_shares = true;
   FairShares other(on);
-  PlacementDecisions other_decisions;
+  PlacementPolicy other_decisions;
   other.register_with(other_decisions);
   LoadDigest digest;
   digest.sender = 7;
   other.add_to_digest(digest, true, now);
   shares.apply_digest(digest, now);
   serve("birch", 3);
-  other_decisions.placed(request("birch"), now);
+  other_decisions.on_placed(request("birch"), now);
   other.add_to_digest(digest, true, now);
   shares.apply_digest(digest, now);  // The first report of a node is only a baseline.
-  for (int i = 0; i < 60; ++i) other_decisions.placed(request("alder"), now);
+  for (int i = 0; i < 60; ++i) other_decisions.on_placed(request("alder"), now);
   other.add_to_digest(digest, true, now);
   shares.apply_digest(digest, now);
   EXPECT_GE(turn("alder"), 1);
@@ -120,14 +120,14 @@
   PlacementRequest item = request("alder");
   item.work = WorkClass::kBatch;
   item.slot_time = seconds(5);
-  for (int i = 0; i < 60; ++i) decisions.placed(item, now);
+  for (int i = 0; i < 60; ++i) decisions.on_placed(item, now);
   serve("birch", 5);
   EXPECT_EQ(turn("alder"), 0);
 }
 
 TEST_F(FairSharesTest, MetricsShowWaitingAndGrantedSlotTime) {
   serve("alder", 2);
-  decisions.turn(request("alder"), now);
+  decisions.fair_share_rank(request("alder"), now);
   const auto rows = shares.tenant_rows(now);
   ASSERT_EQ(rows.size(), 1U);
   EXPECT_EQ(rows[0].tenant, "alder");
@@ -143,9 +143,9 @@
 
 TEST_F(FairSharesTest, CountsKindsByTheOutcomeOfTheirWaits) {
   serve("alder", 2);
-  decisions.left(request("alder"), now);
-  ASSERT_EQ(shares.kinds().kinds().size(), 1U);
-  const auto& counts = shares.kinds().kinds().begin()->second;
+  decisions.on_unplaced(request("alder"), now);
+  ASSERT_EQ(shares.kinds().classes().size(), 1U);
+  const auto& counts = shares.kinds().classes().begin()->second;
   EXPECT_EQ(counts.total, (std::array<std::uint64_t, 3>{2, 0, 1}));
 }
 
--- a/tests/gateway/headers_test.cc
+++ b/tests/gateway/headers_test.cc
@@ -29,7 +29,7 @@
   EXPECT_EQ(parse_load("3,0,8,100,7")->slowness_percent, 100U);
   // A report may consist of three numbers.
   EXPECT_FALSE(parse_load("3,0,8")->slowness_percent);
-  EXPECT_FALSE(parse_load("3,0,8")->false_slowness);
+  EXPECT_FALSE(parse_load("3,0,8")->invalid_slowness);
 }
 
 // An impossible slowness would attract all work to its runner or keep all work away from it. It is
@@ -42,7 +42,7 @@
     ASSERT_TRUE(load) << text;
     EXPECT_EQ(load->running, 3U) << text;
     EXPECT_FALSE(load->slowness_percent) << text;
-    EXPECT_TRUE(load->false_slowness) << text;
+    EXPECT_TRUE(load->invalid_slowness) << text;
   }
   EXPECT_EQ(parse_load("3,0,8,10")->slowness_percent, 10U);
   EXPECT_EQ(parse_load("3,0,8,5000")->slowness_percent, 5000U);
--- a/tests/gateway/online_admission_test.cc
+++ b/tests/gateway/online_admission_test.cc
@@ -44,7 +44,7 @@
     digest.sender = 1;
     digest.backlogs = {
         {.service = stable_hash("chat"), .waiting = waiting, .waiting_slot_ms = waiting * 100U}};
-    context.admission.take_reports(digest, monotonic_now());
+    context.admission.apply_reports(digest, monotonic_now());
   }
   /// Takes the slot, makes hold times known, and reports requests waiting at another node.
   void overload(std::uint16_t waiting_elsewhere) {
@@ -74,7 +74,7 @@
 TEST_F(OnlineAdmissionTest, RejectsOnArrivalIfThePredictedWaitIsTooLong) {
   overload(5);
   int waits = 0;
-  context.placement.decisions().waits = [&waits](const auto&...) { ++waits; };
+  context.placement.placement_policy().on_queued = [&waits](const auto&...) { ++waits; };
   const CallerView response = ask();
   EXPECT_EQ(response.status, 503);
   EXPECT_NE(response.body.find("overloaded"), std::string::npos);
@@ -114,11 +114,11 @@
   run_until_waiting();
   ASSERT_FALSE(view);
   int reviews = 0;
-  context.placement.decisions().review = [review = context.placement.decisions().review,
-                                          &reviews](const auto&... arguments) {
-    ++reviews;
-    return review(arguments...);
-  };
+  context.placement.placement_policy().review =
+      [review = context.placement.placement_policy().review, &reviews](const auto&... arguments) {
+        ++reviews;
+        return review(arguments...);
+      };
   apply_peer_backlog(50);
   while (context.placement.waiting(WorkClass::kOnline) > 0) loop.run_one();
   EXPECT_EQ(reviews, 1);
@@ -143,7 +143,7 @@
   run_until_waiting();
   EXPECT_FALSE(view);
   EXPECT_EQ(context.admission.counters().retried, 1U);
-  EXPECT_NE(context.admission.waiting_page().find("returned"), std::string::npos);
+  EXPECT_NE(context.admission.render_waiting_requests().find("returned"), std::string::npos);
   free_slot();
   run_until_response();
   EXPECT_EQ(view->status, 200);
@@ -195,7 +195,7 @@
   LoadDigest digest;
   context.admission.add_reports(digest, monotonic_now());
   ASSERT_EQ(digest.returns.size(), 1U);
-  EXPECT_FALSE(digest.returns[0].came);
+  EXPECT_FALSE(digest.returns[0].arrived);
   ASSERT_EQ(digest.backlogs.size(), 1U);
   EXPECT_EQ(digest.backlogs[0].freed_slots, 20U);
   EXPECT_EQ(digest.backlogs[0].arrivals, 1U);
--- a/tests/gateway/online_request_test.cc
+++ b/tests/gateway/online_request_test.cc
@@ -44,7 +44,7 @@
 
 TEST_F(OnlineRequestTest, AStreamThatBreaksLateWaitsForASlotToResume) {
   configure(RouteKind::kStreaming, true);
-  ScriptedAnswer late_break(stream_head() + chunk(event(1)), true);
+  ScriptedResponse late_break(stream_head() + chunk(event(1)), true);
   // Longer than the wait limit of a new request.
   late_break.pause = std::chrono::milliseconds(1700);
   ScriptedRunner breaking(loop, {late_break});
@@ -85,7 +85,7 @@
 TEST_F(OnlineRequestTest, DoesNotResendOrDisclaimAnUnsafeRequest) {
   configure(RouteKind::kUnsafe, false, 3);
   ScriptedRunner closing(loop, {{"", true}});
-  ScriptedRunner other(loop, {{plain_answer("again")}});
+  ScriptedRunner other(loop, {{plain_response("again")}});
   add_runner(closing);
   add_runner(other);
   EXPECT_EQ(ask().status, 502);
@@ -94,17 +94,17 @@
 
 TEST_F(OnlineRequestTest, DoesNotRelayARunners503WithoutTheNotRunHeader) {
   configure(RouteKind::kUnsafe, false, 3);
-  ScriptedRunner failing(loop, {{plain_answer("busy", "{id}", "503 Service Unavailable")}});
+  ScriptedRunner failing(loop, {{plain_response("busy", "{id}", "503 Service Unavailable")}});
   add_runner(failing);
   EXPECT_EQ(ask().status, 502);
 }
 
 TEST_F(OnlineRequestTest, SendsARequestThatWasNotRunToAnotherRunner) {
   configure(RouteKind::kUnsafe, false, 1);
-  ScriptedRunner full(loop,
-                      {{plain_answer("", "{id}", "503 Service Unavailable", "X-Not-Run: 1\r\n")}});
-  ScriptedRunner moved(loop, {{plain_answer("", "{id}", "421 Misdirected Request", "")}});
-  ScriptedRunner serving(loop, {{plain_answer("answer")}});
+  ScriptedRunner full(
+      loop, {{plain_response("", "{id}", "503 Service Unavailable", "X-Not-Run: 1\r\n")}});
+  ScriptedRunner moved(loop, {{plain_response("", "{id}", "421 Misdirected Request", "")}});
+  ScriptedRunner serving(loop, {{plain_response("answer")}});
   add_runner(full);
   add_runner(moved);
   add_runner(serving);
@@ -115,7 +115,7 @@
 
 TEST_F(OnlineRequestTest, RespondsWithRetryAfterIfNoRunnerRanTheRequest) {
   configure(RouteKind::kUnsafe, false, 1);
-  ScriptedRunner moved(loop, {{plain_answer("", "{id}", "421 Misdirected Request", "")}});
+  ScriptedRunner moved(loop, {{plain_response("", "{id}", "421 Misdirected Request", "")}});
   add_runner(moved);
   const CallerView view = ask();
   EXPECT_EQ(view.status, 503);
@@ -124,11 +124,11 @@
 
 TEST_F(OnlineRequestTest, DoesNotRelayUnverifiedResponses) {
   configure(RouteKind::kSafe, false, 3);
-  ScriptedRunner unsigned_runner(loop, {{plain_answer("bad", "{id}", "200 OK", "")}});
-  ScriptedRunner encoded(loop,
-                         {{plain_answer("bad", "{id}", "200 OK",
-                                        "X-Response-Signature: s\r\nContent-Encoding: gzip\r\n")}});
-  ScriptedRunner serving(loop, {{plain_answer("answer")}});
+  ScriptedRunner unsigned_runner(loop, {{plain_response("bad", "{id}", "200 OK", "")}});
+  ScriptedRunner encoded(
+      loop, {{plain_response("bad", "{id}", "200 OK",
+                             "X-Response-Signature: s\r\nContent-Encoding: gzip\r\n")}});
+  ScriptedRunner serving(loop, {{plain_response("answer")}});
   add_runner(unsigned_runner);
   add_runner(encoded);
   add_runner(serving);
@@ -137,7 +137,7 @@
 
 TEST_F(OnlineRequestTest, RelaysARunnersErrorUnchanged) {
   configure(RouteKind::kUnsafe, false, 1);
-  ScriptedRunner failing(loop, {{plain_answer("mine", "{id}", "500 Internal Server Error")}});
+  ScriptedRunner failing(loop, {{plain_response("mine", "{id}", "500 Internal Server Error")}});
   add_runner(failing);
   const CallerView view = ask();
   EXPECT_EQ(view.status, 500);
@@ -171,7 +171,7 @@
 /// attempt: the attempt that the deadline stopped was counted as having sent its response.
 TEST_F(OnlineRequestTest, RespondsAtTheDeadlineDuringAnAttempt) {
   configure(RouteKind::kStreaming, true);
-  ScriptedAnswer silent("");
+  ScriptedResponse silent("");
   silent.pause = std::chrono::seconds(20);
   ScriptedRunner runner(loop, {silent});
   add_runner(runner);
@@ -193,7 +193,7 @@
 
 TEST_F(OnlineRequestTest, ARequestQueuedAtAnOvercommittedRunnerPreemptsBatchThere) {
   configure(RouteKind::kStreaming, true);
-  ScriptedAnswer silent("");
+  ScriptedResponse silent("");
   silent.pause = std::chrono::seconds(20);
   ScriptedRunner runner(loop, {silent});
   add_runner(runner);
@@ -211,7 +211,7 @@
 
 TEST_F(OnlineRequestTest, QuarantinesARequestAfterItCrashedThreeRunners) {
   configure(RouteKind::kStreaming, true);
-  const ScriptedAnswer ends(stream_head(), true);
+  const ScriptedResponse ends(stream_head(), true);
   std::vector<std::unique_ptr<ScriptedRunner>> runners;
   for (int i = 0; i < 6; ++i) {
     runners.push_back(std::make_unique<ScriptedRunner>(loop, std::vector{ends}));
@@ -243,8 +243,8 @@
   const auto content = [](const char* text) {
     return content_hash({.tenant = "", .host = kHost, .target = "/x/1", .body = text});
   };
-  context.quarantine.take_record(content("deadly"), {wall_clock_ms(), 3}, monotonic_now(),
-                                 wall_clock_ms());
+  context.quarantine.apply_record(content("deadly"), {wall_clock_ms(), 3}, monotonic_now(),
+                                  wall_clock_ms());
   EXPECT_EQ(ask().status, 200);
   body = "deadly";
   EXPECT_EQ(ask().status, 503);
@@ -264,7 +264,7 @@
   while (context.placement.waiting(WorkClass::kOnline) == 0) loop.run_one();
   const ContentHash content =
       content_hash({.tenant = "", .host = kHost, .target = "/x/1", .body = body});
-  context.quarantine.take_record(content, {wall_clock_ms(), 3}, monotonic_now(), wall_clock_ms());
+  context.quarantine.apply_record(content, {wall_clock_ms(), 3}, monotonic_now(), wall_clock_ms());
   // Far fewer loop iterations than the hundred in which a wait of 2 s checks for a free slot.
   for (int turn = 0; turn < 50 && !view; ++turn) loop.run_one();
   ASSERT_TRUE(view);
@@ -274,7 +274,7 @@
 
 TEST_F(OnlineRequestTest, AStreamThatBreaksAfterAnEventIsNotEvidenceForQuarantine) {
   configure(RouteKind::kStreaming, false, 1);
-  const ScriptedAnswer breaks(stream_head() + chunk(event(1)), true);
+  const ScriptedResponse breaks(stream_head() + chunk(event(1)), true);
   std::vector<std::unique_ptr<ScriptedRunner>> runners;
   for (int i = 0; i < 4; ++i) {
     runners.push_back(std::make_unique<ScriptedRunner>(loop, std::vector{breaks}));
@@ -282,7 +282,7 @@
   }
   for (int i = 0; i < 4; ++i) EXPECT_FALSE(ask().complete);
   EXPECT_TRUE(context.quarantine.empty());
-  EXPECT_EQ(context.quarantine.suspects(), 0U);
+  EXPECT_EQ(context.quarantine.suspect_count(), 0U);
 }
 
 }  // namespace
--- a/tests/gateway/peer_relay_test.cc
+++ b/tests/gateway/peer_relay_test.cc
@@ -93,7 +93,7 @@
 }
 
 TEST_F(PeerRelayTest, DoesNotTryAnotherNodeAfterAnUnknownOutcome) {
-  ScriptedRunner silent(loop, {ScriptedAnswer("", true)});
+  ScriptedRunner silent(loop, {ScriptedResponse("", true)});
   peers = {silent.address()};
   ask();
   EXPECT_EQ(response.progress, HttpProgress::kSent);
--- a/tests/gateway/scripted_runner.h
+++ b/tests/gateway/scripted_runner.h
@@ -10,10 +10,10 @@
 namespace stoathold {
 
 /// Scripted reaction to one request.
-struct ScriptedAnswer {
+struct ScriptedResponse {
   // NOLINTNEXTLINE(google-explicit-constructor): tests list responses as plain strings.
-  ScriptedAnswer(std::string bytes_in, bool close_in = false, bool reset_in = false,
-                 std::string late_bytes_in = {})
+  ScriptedResponse(std::string bytes_in, bool close_in = false, bool reset_in = false,
+                   std::string late_bytes_in = {})
       : bytes(std::move(bytes_in)),
         close(close_in),
         reset(reset_in),
@@ -30,7 +30,7 @@
 /// `{id}` in a response is replaced by the request's id.
 class ScriptedRunner {
  public:
-  ScriptedRunner(boost::asio::io_context& loop, std::vector<ScriptedAnswer> responses)
+  ScriptedRunner(boost::asio::io_context& loop, std::vector<ScriptedResponse> responses)
       : acceptor_(loop, {boost::asio::ip::make_address("127.0.0.1"), 0}),
         responses_(std::move(responses)) {
     boost::asio::co_spawn(loop, accept(), boost::asio::detached);
@@ -87,7 +87,7 @@
       buffer.erase(0, head_size + length);
       const std::size_t index = std::min(next_, responses_.size() - 1);
       ++next_;
-      const ScriptedAnswer& response = responses_[index];
+      const ScriptedResponse& response = responses_[index];
       const std::string bytes =
           insert_id(response.bytes + response.late_bytes, header_value(head, "X-Request-Id"));
       co_await boost::asio::async_write(socket, boost::asio::buffer(bytes),
@@ -105,14 +105,14 @@
   }
 
   Tcp::acceptor acceptor_;
-  std::vector<ScriptedAnswer> responses_;
+  std::vector<ScriptedResponse> responses_;
   std::size_t next_ = 0;
 };
 
 /// Returns a complete response with a Content-Length.
-inline std::string plain_answer(const std::string& body, const std::string& id = "{id}",
-                                const std::string& status = "200 OK",
-                                const std::string& more = "X-Response-Signature: s\r\n") {
+inline std::string plain_response(const std::string& body, const std::string& id = "{id}",
+                                  const std::string& status = "200 OK",
+                                  const std::string& more = "X-Response-Signature: s\r\n") {
   return "HTTP/1.1 " + status + "\r\nX-Request-Id: " + id + "\r\n" + more +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
--- a/tests/gateway/slow_peers_test.cc
+++ b/tests/gateway/slow_peers_test.cc
@@ -47,7 +47,7 @@
   SlowPeersTest() : caller(loop) {
     constexpr std::uint64_t kBudget = 8UL * 1024 * 1024;
     memory->set_limit(kBudget);
-    server.set_bounds({memory.get(), 0, {}});
+    server.set_resource_limits({memory.get(), 0, {}});
   }
 
   /// Sends a request from a caller with a small receive buffer, without reading the response.
@@ -110,13 +110,13 @@
   add_runner(runner);
   send_request();
   run_until_released(runner, "r1");
-  EXPECT_GT(memory->used(MemoryAccount::kAnswers), 0U);
+  EXPECT_GT(memory->used(MemoryAccount::kResponses), 0U);
   EXPECT_EQ(ended("served"), 0U);
   bool complete = false;
   EXPECT_EQ(read_body(complete), expected_events());
   EXPECT_TRUE(complete);
   run_until([&] { return ended("served") == 1; });
-  EXPECT_EQ(memory->used(MemoryAccount::kAnswers), 0U);
+  EXPECT_EQ(memory->used(MemoryAccount::kResponses), 0U);
 }
 
 TEST_F(SlowPeersTest, ResumesABrokenStreamInOrderForASlowCaller) {
@@ -156,7 +156,7 @@
   run_until_released(runner, "r1");
   caller.close();
   run_until([&] { return ended("caller_gone") == 1; });
-  EXPECT_EQ(memory->used(MemoryAccount::kAnswers), 0U);
+  EXPECT_EQ(memory->used(MemoryAccount::kResponses), 0U);
 }
 
 // A slow caller's stream does not delay other callers.
@@ -184,7 +184,7 @@
   changed->routes[0].latency_objective = std::chrono::milliseconds(200);
   context.configuration = changed;
   Tcp::acceptor not_reading(loop, {asio::ip::make_address("127.0.0.1"), 0});
-  ScriptedRunner reading(loop, {{plain_answer("done")}});
+  ScriptedRunner reading(loop, {{plain_response("done")}});
   const std::string address = "127.0.0.1:" + std::to_string(not_reading.local_endpoint().port());
   context.runners.upsert({"r1", "chat", address, "zone", slots, false});
   context.runners.upsert({"r2", "chat", reading.address(), "zone", slots, false});
--- a/tests/gateway/speed_reports_test.cc
+++ b/tests/gateway/speed_reports_test.cc
@@ -44,15 +44,15 @@
 
 TEST_F(SpeedReportsTest, TheFirstValidSlownessEnablesThePolicyAtBothNodes) {
   apply_slowness_report(first, runner(first, 1), {.slots = 8}, kNow);
-  apply_slowness_report(first, runner(first, 1), {.slots = 8, .false_slowness = true}, kNow);
-  EXPECT_FALSE(first.load_policy.knows_speeds);
+  apply_slowness_report(first, runner(first, 1), {.slots = 8, .invalid_slowness = true}, kNow);
+  EXPECT_FALSE(first.load_policy.uses_runner_speeds);
   EXPECT_TRUE(digest(kNow).speeds.empty());
   first.set_traits({.has_tenants = true});
   report_slowness(1, 250, kNow);
-  EXPECT_TRUE(first.load_policy.knows_speeds);
+  EXPECT_TRUE(first.load_policy.uses_runner_speeds);
   EXPECT_TRUE(first.traits.has_tenants);
-  second_part.take(digest(kNow), kNow);
-  EXPECT_TRUE(second.load_policy.knows_speeds);
+  second_part.apply(digest(kNow), kNow);
+  EXPECT_TRUE(second.load_policy.uses_runner_speeds);
   EXPECT_EQ(runner(second, 1).speed().reported_percent(), 250U);
 }
 
@@ -70,10 +70,10 @@
   const LoadDigest late = digest(kNow);
   const TimePoint later = kNow + 3 * kDigestInterval;
   report_slowness(1, 250, later);
-  second_part.take(digest(later), later);
+  second_part.apply(digest(later), later);
   LoadDigest delayed = late;
   delayed.speeds[0].slowness_age_ms = 40;
-  second_part.take(delayed, later);
+  second_part.apply(delayed, later);
   EXPECT_EQ(runner(second, 1).speed().reported_percent(), 250U);
 }
 
@@ -85,25 +85,25 @@
     for (int sample = 0; sample < 16; ++sample) runner(first, i).speed().learn(1.6);
   }
   for (int lost = 0; lost < 5; ++lost) digest(kNow);
-  for (int kept = 0; kept < 3; ++kept) second_part.take(digest(kNow, true), kNow);
+  for (int kept = 0; kept < 3; ++kept) second_part.apply(digest(kNow, true), kNow);
   for (int i = 0; i < 20; ++i) EXPECT_GT(runner(second, i).speed().relative_time(), 1.4) << i;
 }
 
 TEST_F(SpeedReportsTest, IgnoresReportsOfRunnersThatAreGone) {
   report_slowness(1, 250, kNow);
   second.runners.remove("r1");
-  second_part.take(digest(kNow), kNow);
-  EXPECT_FALSE(second.load_policy.knows_speeds);
+  second_part.apply(digest(kNow), kNow);
+  EXPECT_FALSE(second.load_policy.uses_runner_speeds);
 }
 
 /// A runner on loopback that reports its slowness.
 TEST_F(GatewayFixture, AppliesTheSlownessInAResponse) {
   configure(RouteKind::kStreaming, true);
   const std::string load = "X-Response-Signature: s\r\nX-Load: 1,0,8,250\r\n";
-  ScriptedRunner runner(loop, {{plain_answer(event(1), "{id}", "200 OK", load)}});
+  ScriptedRunner runner(loop, {{plain_response(event(1), "{id}", "200 OK", load)}});
   add_runner(runner);
   EXPECT_EQ(ask().status, 200);
-  EXPECT_TRUE(context.load_policy.knows_speeds);
+  EXPECT_TRUE(context.load_policy.uses_runner_speeds);
   EXPECT_EQ(context.runners.all().at("r1")->speed().reported_percent(), 250U);
 }
 
--- a/tests/gateway/suspension_test.cc
+++ b/tests/gateway/suspension_test.cc
@@ -67,7 +67,7 @@
 
 TEST_F(SuspensionTest, ExpiredTimersFireWithTheNextTimer) {
   deadline_ms = "60000";
-  ScriptedAnswer silent("");
+  ScriptedResponse silent("");
   silent.pause = std::chrono::seconds(60);
   ScriptedRunner runner(loop, {silent});
   add_runner(runner);
@@ -86,23 +86,23 @@
 
 TEST_F(SuspensionTest, OtherNodesCountAsSilentUntilTheirNextMessage) {
   const TenantDirectory directory{{{"alder", {"key"}, {}, {10, 0}}}};
-  TenantLimits limits;
+  TenantRateLimiter limits;
   limits.set_tenants(directory, monotonic_now());
   TenantGossip gossip(limits, 1, 10);
   NeighbourTable neighbours;
   const NeighbourTable::Endpoint other(boost::asio::ip::make_address("127.0.0.1"), 7000);
   const auto receive_messages = [&] {
-    gossip.take_report(2, {}, monotonic_now());
-    neighbours.heard(other, monotonic_now());
-    gossip.check_silence(monotonic_now());
+    gossip.apply_report(2, {}, monotonic_now());
+    neighbours.record_message(other, monotonic_now());
+    gossip.update_silent_nodes(monotonic_now());
   };
   receive_messages();
   EXPECT_EQ(limits.silent_nodes(), 0U);
-  EXPECT_EQ(neighbours.heard_lately(monotonic_now()).size(), 1U);
+  EXPECT_EQ(neighbours.live_nodes(monotonic_now()).size(), 1U);
   suspend_machine(kSuspension);
-  gossip.check_silence(monotonic_now());
+  gossip.update_silent_nodes(monotonic_now());
   EXPECT_EQ(limits.silent_nodes(), 1U) << "its share of each limit would be given out twice";
-  EXPECT_TRUE(neighbours.heard_lately(monotonic_now()).empty());
+  EXPECT_TRUE(neighbours.live_nodes(monotonic_now()).empty());
   receive_messages();
   EXPECT_EQ(limits.silent_nodes(), 0U);
 }
@@ -111,8 +111,8 @@
   Runner runner({"r1", "chat", "127.0.0.1:1", "zone", 10, false});
   runner.begin_attempt();
   runner.end_attempt(AttemptOutcome::kUnreachable, monotonic_now());
-  runner.take_zone_load(0.5, monotonic_now());
-  runner.take_report({.running = 5, .waiting = 0, .slots = 10}, monotonic_now());
+  runner.apply_zone_load(0.5, monotonic_now());
+  runner.apply_load_report({.running = 5, .waiting = 0, .slots = 10}, monotonic_now());
   EXPECT_TRUE(runner.ejected(monotonic_now()));
   EXPECT_GT(runner.load(monotonic_now()), 0.4);
   suspend_machine(kSuspension);
@@ -125,11 +125,11 @@
   Quarantine& quarantine = context.quarantine;
   const ContentHash deadly{1};
   for (std::uint64_t id = 1; id <= 3; ++id) {
-    quarantine.note_end({deadly, id, RunStage::kBegun, monotonic_now()});
+    quarantine.record_runner_exit({deadly, id, RunStage::kResponseStarted, monotonic_now()});
   }
-  EXPECT_TRUE(quarantine.holds(deadly, monotonic_now()));
+  EXPECT_TRUE(quarantine.contains(deadly, monotonic_now()));
   suspend_machine(Quarantine::kQuarantineTime);
-  EXPECT_FALSE(quarantine.holds(deadly, monotonic_now()));
+  EXPECT_FALSE(quarantine.contains(deadly, monotonic_now()));
 }
 
 }  // namespace
--- a/tests/gateway/tenant_access_test.cc
+++ b/tests/gateway/tenant_access_test.cc
@@ -132,7 +132,7 @@
 }
 
 TEST_F(TenantAccessTest, RefusesRequestsOverTheLimitWithRetryAfter) {
-  context.tenant_limits.node_heard(7, monotonic_now());
+  context.tenant_limits.on_node_heard(7, monotonic_now());
   configure({{"alder", {kKey}, {}, {0.01, 1}}});
   EXPECT_EQ(ask("/x/1", kKey).status, 200);
   const HttpReply refused = ask("/x/1", kKey);
--- a/tests/gateway/upstream_test.cc
+++ b/tests/gateway/upstream_test.cc
@@ -54,7 +54,7 @@
 };
 
 TEST_F(UpstreamTest, ReusesConnectionsAndSendsRequestsUnchanged) {
-  ScriptedRunner runner(loop, {{plain_answer("one")}, {plain_answer("two")}});
+  ScriptedRunner runner(loop, {{plain_response("one")}, {plain_response("two")}});
   EXPECT_EQ(call(runner, "1").body, "one");
   EXPECT_EQ(call(runner, "2").body, "two");
   EXPECT_EQ(runner.connections, 1);
@@ -63,7 +63,7 @@
 }
 
 TEST_F(UpstreamTest, OpensANewConnectionIfNoIdleTimeIsAllowed) {
-  ScriptedRunner runner(loop, {{plain_answer("one")}});
+  ScriptedRunner runner(loop, {{plain_response("one")}});
   call(runner, "1");
   call(runner, "2", Duration{0});
   EXPECT_EQ(runner.connections, 2);
@@ -72,7 +72,7 @@
 /// A request that may not be repeated is lost if the runner closes the idle connection while it is
 /// sent, so it only uses a connection that was in use shortly before.
 TEST_F(UpstreamTest, DoesNotUseAConnectionThatWasIdleForTooLong) {
-  ScriptedRunner runner(loop, {{plain_answer("one")}, {plain_answer("two")}});
+  ScriptedRunner runner(loop, {{plain_response("one")}, {plain_response("two")}});
   constexpr Duration kMaxIdleTime = std::chrono::milliseconds(20);
   call(runner, "1");
   call(runner, "2", std::chrono::minutes(1));
@@ -84,22 +84,22 @@
 }
 
 TEST_F(UpstreamTest, SkipsAResponseToAnotherRequest) {
-  ScriptedRunner runner(loop, {{plain_answer("foreign", "other") + plain_answer("mine")}});
+  ScriptedRunner runner(loop, {{plain_response("foreign", "other") + plain_response("mine")}});
   const Outcome outcome = call(runner, "1");
   EXPECT_EQ(outcome.status, UpstreamStatus::kOk);
   EXPECT_EQ(outcome.body, "mine");
 }
 
 TEST_F(UpstreamTest, ClosesAConnectionWithBytesAfterAResponse) {
-  ScriptedRunner runner(loop, {{plain_answer("one"), false, false, plain_answer("extra", "1")},
-                               {plain_answer("two")}});
+  ScriptedRunner runner(loop, {{plain_response("one"), false, false, plain_response("extra", "1")},
+                               {plain_response("two")}});
   EXPECT_EQ(call(runner, "1").body, "one");
   EXPECT_EQ(call(runner, "2").body, "two");
   EXPECT_EQ(runner.connections, 2);
 }
 
 TEST_F(UpstreamTest, ATruncatedResponseIsBroken) {
-  const std::string response = plain_answer("a long body");
+  const std::string response = plain_response("a long body");
   ScriptedRunner runner(loop, {{response.substr(0, response.size() - 3), true}});
   EXPECT_EQ(call(runner, "1").status, UpstreamStatus::kBroken);
 }
@@ -122,7 +122,7 @@
 TEST_F(UpstreamTest, ReportsNotSentIfTheConnectionIsRefused) {
   std::string address;
   {
-    ScriptedRunner runner(loop, {{plain_answer("one")}});
+    ScriptedRunner runner(loop, {{plain_response("one")}});
     address = runner.address();
     loop.poll();
   }
--- a/tests/jobs/faulty_record_log.h
+++ b/tests/jobs/faulty_record_log.h
@@ -27,7 +27,7 @@
 };
 
 /// Timeouts and backoff short enough that retries take negligible time.
-inline JobStoreTiming quick_timing() {
+inline JobStoreTiming short_timeouts() {
   JobStoreTiming timing;
   timing.operation_timeout = std::chrono::milliseconds(20);
   timing.retries = {std::chrono::microseconds(10), std::chrono::microseconds(100)};
--- a/tests/jobs/item_run_test.cc
+++ b/tests/jobs/item_run_test.cc
@@ -13,8 +13,8 @@
 TEST(ItemRunTest, RemainingTimeIsEstimatedInEvents) {
   boost::asio::io_context loop;
   GatewayContext context(loop.get_executor(), HeaderDialect{}, "zone");
-  context.answer_pace.observe_gap("", std::chrono::milliseconds(34));
-  context.answer_pace.observe_answer("", TokenCount{1420}, EventCount{142});
+  context.response_durations.observe_gap("", std::chrono::milliseconds(34));
+  context.response_durations.observe_response("", TokenCount{1420}, EventCount{142});
   ItemRequest request;
   request.headers = {{context.dialect.token_usage, "350,1420"}};
   ItemProgress progress;
--- a/tests/jobs/job_memory_test.cc
+++ b/tests/jobs/job_memory_test.cc
@@ -23,7 +23,7 @@
   MemoryBudget& memory = *node.context.memory;
   constexpr std::uint64_t kBudget = 10'000'000;
   memory.set_limit(kBudget);
-  const MemoryReservation others = memory.charge(MemoryAccount::kAnswers, kBudget);
+  const MemoryReservation others = memory.charge(MemoryAccount::kResponses, kBudget);
   constexpr std::size_t kJobs = 8;
   for (std::size_t number = 1; number <= kJobs; ++number) submit(node, make_job(number));
   node.run_jobs(add_runner(result_answer()));
@@ -50,12 +50,12 @@
   std::vector<std::uint32_t> positions;
   for (const auto& result : page.results->listed()) positions.push_back(result.item);
   ASSERT_EQ(positions.size(), kJobItems);
-  EXPECT_GE(memory.used(MemoryAccount::kListedResults), kResultsBytes);
+  EXPECT_GE(memory.used(MemoryAccount::kCachedResults), kResultsBytes);
 
   constexpr std::uint64_t kBudget = 1000;
   memory.set_limit(kBudget);
   node.store.drop_erased_jobs();
-  EXPECT_EQ(memory.used(MemoryAccount::kListedResults), 0U);
+  EXPECT_EQ(memory.used(MemoryAccount::kCachedResults), 0U);
   page = run_awaitable(loop, node.store.read_results(kHost, key, 0, Duration{0}));
   ASSERT_EQ(page.status, LookupStatus::kFound);
   std::vector<std::uint32_t> positions_again;
@@ -74,7 +74,7 @@
   constexpr std::uint64_t kBudget = 1000;
   node.context.memory->set_limit(kBudget);
   node.store.drop_erased_jobs();
-  EXPECT_GE(node.context.memory->used(MemoryAccount::kListedResults), 2 * kResultBytes);
+  EXPECT_GE(node.context.memory->used(MemoryAccount::kCachedResults), 2 * kResultBytes);
 }
 
 }  // namespace
--- a/tests/jobs/job_model_test.cc
+++ b/tests/jobs/job_model_test.cc
@@ -79,7 +79,7 @@
   void restart(int node) {
     const std::string name = "n" + std::to_string(node) + "-" + std::to_string(starts++);
     stores[node] =
-        std::make_unique<JobStore>(loop.get_executor(), *logs[node], name, quick_timing());
+        std::make_unique<JobStore>(loop.get_executor(), *logs[node], name, short_timeouts());
   }
 
   boost::asio::io_context loop;
--- a/tests/jobs/job_reads_fixture.h
+++ b/tests/jobs/job_reads_fixture.h
@@ -92,12 +92,12 @@
 };
 
 /// Returns a runner's answer that completes an item with a result of mean size.
-inline ScriptedAnswer result_answer() {
-  return plain_answer("id: 1\ndata: " + std::string(kResultBytes, 'r') + "\n\n");
+inline ScriptedResponse result_answer() {
+  return plain_response("id: 1\ndata: " + std::string(kResultBytes, 'r') + "\n\n");
 }
 /// Returns a runner's answer that rejects an item permanently, so that it is dead-lettered.
-inline ScriptedAnswer impossible_answer() {
-  return plain_answer("", "{id}", "422 Unprocessable Entity");
+inline ScriptedResponse impossible_answer() {
+  return plain_response("", "{id}", "422 Unprocessable Entity");
 }
 
 /// Nodes on one log whose history can be truncated.
@@ -111,7 +111,7 @@
     return *nodes_.back();
   }
   /// Adds a runner that gives every request this answer and lives as long as the test.
-  ScriptedRunner& add_runner(const ScriptedAnswer& answer) {
+  ScriptedRunner& add_runner(const ScriptedResponse& answer) {
     runners_.push_back(std::make_unique<ScriptedRunner>(loop, std::vector{answer}));
     return *runners_.back();
   }
--- a/tests/jobs/job_runner_test.cc
+++ b/tests/jobs/job_runner_test.cc
@@ -35,7 +35,7 @@
       : model(std::make_shared<emulator::LogModel>()),
         log(model, small_limits()),
         context(loop.get_executor(), HeaderDialect{}, "zone"),
-        store(loop.get_executor(), log, "node", quick_timing()),
+        store(loop.get_executor(), log, "node", short_timeouts()),
         runner(context, store, log, JobRunnerSettings{"node", {}, {}}) {
     log.held_slots.resize(kSlots);
     std::iota(log.held_slots.begin(), log.held_slots.end(), 0);
--- a/tests/jobs/job_store_test.cc
+++ b/tests/jobs/job_store_test.cc
@@ -38,8 +38,8 @@
       : model(std::make_shared<emulator::LogModel>()),
         first_log(model, small_limits()),
         second_log(model, small_limits()),
-        first(loop.get_executor(), first_log, "first", quick_timing()),
-        second(loop.get_executor(), second_log, "second", quick_timing()) {}
+        first(loop.get_executor(), first_log, "first", short_timeouts()),
+        second(loop.get_executor(), second_log, "second", short_timeouts()) {}
 
   SubmitStatus submit(JobStore& store, NewJob job) {
     return run_awaitable(loop, store.submit(std::move(job)));
@@ -236,12 +236,12 @@
 TEST_F(JobStoreTest, CancellationIsVisibleAtOtherNodes) {
   EXPECT_EQ(submit(first, make_job("j1", 1)), SubmitStatus::kAccepted);
   const JobKey key = make_job_key(kHost, "j1");
-  EXPECT_EQ(run_awaitable(loop, second.end(kHost, key)), LogStatus::kOk);
+  EXPECT_EQ(run_awaitable(loop, second.cancel(kHost, key)), LogStatus::kOk);
   const JobEntry* job = nullptr;
   EXPECT_EQ(run_awaitable(loop, first.find(kHost, key, job)), LookupStatus::kFound);
   EXPECT_EQ(submit(first, make_job("j3", 1)), SubmitStatus::kAccepted);
   EXPECT_EQ(run_awaitable(loop, first.find(kHost, key, job)), LookupStatus::kFound);
-  EXPECT_TRUE(job->ended);
+  EXPECT_TRUE(job->cancelled);
 }
 
 TEST_F(JobStoreTest, JobsReadBeforeTheirHostIsFollowedAreReportedOnFollow) {
--- a/tests/jobs/paged_record_log.h
+++ b/tests/jobs/paged_record_log.h
@@ -71,7 +71,7 @@
   void lose_page_after(int pages) { pages_until_loss_ = pages; }
 
   /// Returns the reads of topics with this prefix.
-  [[nodiscard]] ReadCount read_of(const std::string& topic_prefix) const {
+  [[nodiscard]] ReadCount reads_of_topics(const std::string& topic_prefix) const {
     return sum([&](const std::string& topic) { return topic.starts_with(topic_prefix); });
   }
   /// Returns the reads of all topics without this prefix.
--- a/tests/jobs/read_bounds_test.cc
+++ b/tests/jobs/read_bounds_test.cc
@@ -58,7 +58,7 @@
   model->drop_history();
   JobNode& asked = add_node("asked");
   poll_concurrently(asked, 0, kCallers);
-  EXPECT_LE(asked.log.read_of(kJobsTopic).bytes, 2 * listing_bytes());
+  EXPECT_LE(asked.log.reads_of_topics(kJobsTopic).bytes, 2 * listing_bytes());
   EXPECT_LE(asked.log.reads_of_other_topics(kJobsTopic).bytes, 2 * kResultsBytes);
 }
 
@@ -133,8 +133,8 @@
   submit(before, std::move(job));
   JobNode& node = add_node("after");
   run_jobs_without_runners(node);
-  EXPECT_GT(node.log.read_of("job-bodies").bytes, 0U);
-  EXPECT_LE(node.log.read_of("job-bodies").bytes, kMaxHeldBytes);
+  EXPECT_GT(node.log.reads_of_topics("job-bodies").bytes, 0U);
+  EXPECT_LE(node.log.reads_of_topics("job-bodies").bytes, kMaxHeldBytes);
 }
 
 /// Guards against blocking all reads once enough requests wait, including reads for jobs that need
@@ -175,7 +175,7 @@
   node.run_jobs(runner);
   run_until([&] {
     const bool placed = runner.requests.size() >= kJobItems - 1;
-    return placed || node.log.read_of("job-bodies").calls >= kCallLimit;
+    return placed || node.log.reads_of_topics("job-bodies").calls >= kCallLimit;
   });
   EXPECT_EQ(runner.requests.size(), kJobItems - 1);
 }
@@ -195,7 +195,7 @@
   const ScriptedRunner& runner = add_runner(impossible_answer());
   node.run_jobs(runner);
   run_until([&] { return runner.requests.size() >= kItems; });
-  EXPECT_LE(node.log.read_of("job-bodies").calls, kMaxCalls);
+  EXPECT_LE(node.log.reads_of_topics("job-bodies").calls, kMaxCalls);
 }
 
 /// Guards against requests that remain after their submission is refused. Requests are appended
@@ -206,7 +206,7 @@
 /// refused.
 TEST_F(ReadBoundsTest, RefusedSubmissionLeavesNoRequests) {
   FaultyRecordLog log(model, store_limits());
-  JobStore store(loop.get_executor(), log, "node", quick_timing());
+  JobStore store(loop.get_executor(), log, "node", short_timeouts());
   log.faults.topic = kJobsTopic;
   log.faults.down = true;
   log.faults.allow_reads = true;
--- a/tests/jobs/restart_reads_test.cc
+++ b/tests/jobs/restart_reads_test.cc
@@ -72,7 +72,8 @@
     const ScriptedRunner& runner = add_runner(impossible_answer());
     node.run_jobs(runner);
     run_until([&] { return runner.requests.size() >= kItemsToPlace; });
-    return {node.log.read_of(kJobsTopic).bytes, node.log.reads_of_other_topics(kJobsTopic).bytes};
+    return {node.log.reads_of_topics(kJobsTopic).bytes,
+            node.log.reads_of_other_topics(kJobsTopic).bytes};
   }
   /// Leaves finished jobs in the log.
   void leave_finished_jobs(std::size_t jobs) {
--- a/tests/jobs/result_records_test.cc
+++ b/tests/jobs/result_records_test.cc
@@ -116,7 +116,7 @@
 
 TEST_F(ResultRecordsTest, AppendWithLostAnswerIsRetriedAndCountsOnce) {
   FaultyRecordLog log(model, store_limits());
-  JobStore store(loop.get_executor(), log, "writer", quick_timing());
+  JobStore store(loop.get_executor(), log, "writer", short_timeouts());
   EXPECT_EQ(run_awaitable(loop, store.submit(make_job(0))), SubmitStatus::kAccepted);
   log.faults.lose_answers = 1;
   std::size_t written = 0;
@@ -230,7 +230,7 @@
   run(eraser.store.erase(kHost, key_of(0)));
   EXPECT_TRUE(stored_results(eraser).empty());
   // Erasing the job does not read its texts.
-  EXPECT_LE(eraser.log.read_of("job-results").bytes, kResultBytes);
+  EXPECT_LE(eraser.log.reads_of_topics("job-results").bytes, kResultBytes);
 }
 
 /// The listings determine which items are open, so a node that starts a job reads no texts.
@@ -249,7 +249,7 @@
     run_until([&] { return !runner.requests.empty(); });
     EXPECT_GT(node.store.result_bytes().listings, 0U);
     EXPECT_EQ(node.store.result_bytes().texts, 0U);
-    EXPECT_LE(node.log.read_of("job-results").bytes, kResultBytes);
+    EXPECT_LE(node.log.reads_of_topics("job-results").bytes, kResultBytes);
   }
 }
 
--- a/tests/net/http_server_resource_limits_test.cc
+++ b/tests/net/http_server_resource_limits_test.cc
@@ -90,12 +90,13 @@
     if (thread_.joinable()) thread_.join();
   }
 
-  void start(std::uint64_t budget, std::size_t most_connections = 0) {
+  void start(std::uint64_t budget, std::size_t max_client_connections = 0) {
     budget_.set_limit(budget);
-    server_.set_bounds({&budget_, most_connections, [this](const Shortage& event) {
-                          const std::scoped_lock lock(mutex_);
-                          actions_.push_back(event.act);
-                        }});
+    server_.set_resource_limits(
+        {&budget_, max_client_connections, [this](const OverloadEvent& event) {
+           const std::scoped_lock lock(mutex_);
+           actions_.push_back(event.action);
+         }});
     server_.start();
     thread_ = std::thread([this] { loop_.run(); });
   }
@@ -134,7 +135,7 @@
     text.resize(10000, '.');
     return text;
   }
-  [[nodiscard]] std::size_t count(ShortageAct act) {
+  [[nodiscard]] std::size_t count(OverloadAction act) {
     const std::scoped_lock lock(mutex_);
     return static_cast<std::size_t>(std::count(actions_.begin(), actions_.end(), act));
   }
@@ -148,7 +149,7 @@
   std::atomic<bool> open_{false};
   std::promise<bool> written_;
   std::mutex mutex_;
-  std::vector<ShortageAct> actions_;
+  std::vector<OverloadAction> actions_;
 };
 
 // The client keeps sending while it is rejected, and reads the response only afterwards.
@@ -162,7 +163,7 @@
   EXPECT_NE(answer.find(kNotRun), std::string::npos) << answer;
   EXPECT_EQ(client.end(), asio::error::eof);
   EXPECT_EQ(handled_, 0);
-  EXPECT_EQ(count(ShortageAct::kBodyRefused), 1U);
+  EXPECT_EQ(count(OverloadAction::kBodyRefused), 1U);
 }
 
 TEST_F(HttpServerResourceLimitsTest, BodyWithoutFreeMemoryGetsRetryAfter) {
@@ -245,7 +246,7 @@
   const std::string rejection = slow.read_all();
   EXPECT_TRUE(rejection.starts_with("HTTP/1.1 503")) << rejection;
   EXPECT_NE(rejection.find(kNotRun), std::string::npos) << rejection;
-  EXPECT_EQ(count(ShortageAct::kBodyCutOff), 1U);
+  EXPECT_EQ(count(OverloadAction::kBodyAborted), 1U);
 }
 
 TEST_F(HttpServerResourceLimitsTest, ReadsResponseAheadForStalledClient) {
@@ -281,7 +282,7 @@
   EXPECT_EQ(slow.end(), asio::error::connection_reset);
   while (!client_gone_ && monotonic_now() < end) std::this_thread::yield();
   EXPECT_TRUE(client_gone_);
-  EXPECT_EQ(count(ShortageAct::kAnswerCutOff), 1U);
+  EXPECT_EQ(count(OverloadAction::kResponseAborted), 1U);
 }
 
 TEST_F(HttpServerResourceLimitsTest, EvictsLongestIdleConnectionAtLimit) {
@@ -308,8 +309,8 @@
   open_ = true;
   EXPECT_TRUE(second.read_until(";").ends_with("2;"));
   EXPECT_TRUE(third.read_until(";").ends_with("3;"));
-  EXPECT_EQ(count(ShortageAct::kIdleClosed), 1U);
-  EXPECT_EQ(count(ShortageAct::kConnectionRefused), 1U);
+  EXPECT_EQ(count(OverloadAction::kIdleClosed), 1U);
+  EXPECT_EQ(count(OverloadAction::kConnectionRefused), 1U);
 }
 
 // Guards against closing the longest idle connection regardless of its owner: a client with many
@@ -334,7 +335,7 @@
   // Another connection of the client with the most connections displaces one of its own.
   many.emplace_back(server_.address()).send_request("/", 4);
   EXPECT_TRUE(many.back().read_until(";").ends_with("4;"));
-  EXPECT_EQ(count(ShortageAct::kIdleClosed), 2U);
+  EXPECT_EQ(count(OverloadAction::kIdleClosed), 2U);
 }
 
 // Guards against slow request heads that occupy all connections. Connections whose heads arrived
--- a/tests/platform/job_api_test.cc
+++ b/tests/platform/job_api_test.cc
@@ -18,7 +18,7 @@
   JobApiTest()
       : context(loop.get_executor(), header_dialect(), "zone"),
         log(std::make_shared<emulator::LogModel>(), small_limits()),
-        store(loop.get_executor(), log, "writer", quick_timing()),
+        store(loop.get_executor(), log, "writer", short_timeouts()),
         api(context, store, nullptr),
         server(loop.get_executor(), "127.0.0.1:0", HttpLimits{},
                [this](HttpExchange& exchange) { return serve(exchange); }) {
--- a/tests/platform/job_messages_test.cc
+++ b/tests/platform/job_messages_test.cc
@@ -74,7 +74,7 @@
 TEST(JobMessagesTest, PageEndsBeforeTextThatWasNotRead) {
   JobEntry job;
   ReadResult found;
-  const std::string text(kMostWholeTextBytes + 1, 'x');
+  const std::string text(kMaxInlineTextBytes + 1, 'x');
   for (std::uint32_t i = 0; i < 3; ++i) {
     JobItem item;
     item.id = "i" + std::to_string(i);
--- a/tests/platform/runner_restarts_test.cc
+++ b/tests/platform/runner_restarts_test.cc
@@ -60,13 +60,13 @@
   list("r1", kFirstStart);
   const auto before = runner("r1");
   fail_until_ejected(*before);
-  before->heard(monotonic_now());
+  before->record_receive(monotonic_now());
   fail_until_ejected(*before);
   before->begin_attempt(1000, WorkClass::kBatch);
-  before->take_report({4, 3, 4}, monotonic_now());
-  before->take_zone_load(2, monotonic_now());
+  before->apply_load_report({4, 3, 4}, monotonic_now());
+  before->apply_zone_load(2, monotonic_now());
   before->set_peer_use(3, 500, 1);
-  before->take_answer_counts(7, {5, 0}, monotonic_now());
+  before->apply_peer_response_counts(7, {5, 0}, monotonic_now());
   before->reserve_for_others(monotonic_now() + std::chrono::hours(1), monotonic_now());
   before->mark_leaving();
   list("r1", kSecondStart);
@@ -75,15 +75,15 @@
   EXPECT_NE(after->hash(), before->hash());
   EXPECT_TRUE(after->available());
   EXPECT_FALSE(after->ejected(now));
-  EXPECT_FALSE(after->suspect(now));
+  EXPECT_FALSE(after->has_high_error_rate(now));
   EXPECT_EQ(after->in_flight(), 0U);
   EXPECT_EQ(after->total_backlog(), 0U);
   EXPECT_EQ(after->preemptible(), 0U);
   EXPECT_EQ(after->load(now), 0);
   EXPECT_FALSE(after->zone_load_known(now));
-  EXPECT_EQ(after->last_heard(), TimePoint{});
+  EXPECT_EQ(after->last_receive_time(), TimePoint{});
   EXPECT_FALSE(before->available());
-  EXPECT_EQ(context.runners.of_service("chat").size(), 1U);
+  EXPECT_EQ(context.runners.runners_of_service("chat").size(), 1U);
 }
 
 TEST_F(RunnerRestartsTest, AttemptsAtOlderInstanceDoNotAffectNewInstance) {
@@ -130,15 +130,15 @@
     digest_message.uses = {{hash, 4, 2, 900, 5}};
     return digest_message;
   };
-  uses.take(digest(1, older), {}, {}, monotonic_now());
+  uses.apply(digest(1, older), {}, {}, monotonic_now());
   EXPECT_EQ(runner("r1")->preemptible(), 2U);
   list("r1", kSecondStart);
-  uses.take(digest(2, older), {}, {}, monotonic_now());
-  EXPECT_EQ(context.runners.find_hash(older), nullptr);
+  uses.apply(digest(2, older), {}, {}, monotonic_now());
+  EXPECT_EQ(context.runners.find_by_hash(older), nullptr);
   EXPECT_EQ(runner("r1")->preemptible(), 0U);
   EXPECT_EQ(runner("r1")->total_backlog(), 0U);
-  EXPECT_EQ(runner("r1")->last_heard(), TimePoint{});
-  uses.take(digest(3, runner("r1")->hash()), {}, {}, monotonic_now());
+  EXPECT_EQ(runner("r1")->last_receive_time(), TimePoint{});
+  uses.apply(digest(3, runner("r1")->hash()), {}, {}, monotonic_now());
   EXPECT_EQ(runner("r1")->preemptible(), 2U);
 }
 
@@ -147,35 +147,36 @@
   // Number of exits after the response started that quarantines a request.
   constexpr std::uint64_t kStarts = 3;
   for (std::uint64_t start = 0; start < kStarts; ++start) {
-    EXPECT_FALSE(context.quarantine.holds(kContent, monotonic_now()));
+    EXPECT_FALSE(context.quarantine.contains(kContent, monotonic_now()));
     list("r1", kFirstStart + start);
     const auto ended = runner("r1");
-    ended->heard(monotonic_now());
-    context.quarantine.note_end({kContent, ended->hash(), RunStage::kBegun, monotonic_now()});
+    ended->record_receive(monotonic_now());
+    context.quarantine.record_runner_exit(
+        {kContent, ended->hash(), RunStage::kResponseStarted, monotonic_now()});
     // The next instance responds under the same id before its entry arrives.
-    ended->heard(monotonic_now() + std::chrono::milliseconds(1));
+    ended->record_receive(monotonic_now() + std::chrono::milliseconds(1));
   }
-  EXPECT_TRUE(context.quarantine.holds(kContent, monotonic_now()));
+  EXPECT_TRUE(context.quarantine.contains(kContent, monotonic_now()));
 }
 
 TEST_F(RunnerRestartsTest, IdleConnectionToOlderInstanceIsNotReused) {
   configure(RouteKind::kSafe, false);
-  ScriptedRunner scripted(loop, {{plain_answer("answer", "{id}", "200 OK",
-                                               "X-Response-Signature: s\r\n"
-                                               "Keep-Alive: timeout=60\r\n")}});
+  ScriptedRunner scripted(loop, {{plain_response("answer", "{id}", "200 OK",
+                                                 "X-Response-Signature: s\r\n"
+                                                 "Keep-Alive: timeout=60\r\n")}});
   list("r1", kFirstStart, "", scripted.address());
   EXPECT_EQ(ask().status, 200);
   EXPECT_EQ(ask().status, 200);
   EXPECT_EQ(scripted.connections, 1);
   list("r1", kSecondStart, "", scripted.address());
-  EXPECT_FALSE(context.connected()(*runner("r1")));
+  EXPECT_FALSE(context.idle_connection_predicate()(*runner("r1")));
   EXPECT_EQ(ask().status, 200);
   EXPECT_EQ(scripted.connections, 2);
 }
 
 TEST_F(RunnerRestartsTest, RetryableRequestIsRetriedAtNewInstance) {
   configure(RouteKind::kSafe, false);
-  ScriptedRunner scripted(loop, {{"", true}, {plain_answer("answer")}});
+  ScriptedRunner scripted(loop, {{"", true}, {plain_response("answer")}});
   list("r1", kFirstStart, "", scripted.address());
   boost::asio::co_spawn(loop, restart_after_first_request(scripted), boost::asio::detached);
   const CallerView view = ask();
@@ -185,7 +186,7 @@
 
 TEST_F(RunnerRestartsTest, UnsafeRequestIsNotRetriedAtNewInstance) {
   configure(RouteKind::kUnsafe, false, 3);
-  ScriptedRunner scripted(loop, {{"", true}, {plain_answer("again")}});
+  ScriptedRunner scripted(loop, {{"", true}, {plain_response("again")}});
   list("r1", kFirstStart, "", scripted.address());
   boost::asio::co_spawn(loop, restart_after_first_request(scripted), boost::asio::detached);
   EXPECT_EQ(ask().status, 502);
@@ -211,13 +212,13 @@
   before->begin_attempt();
   fail_until_ejected(*before);
   drop("r1");
-  EXPECT_TRUE(context.runners.of_service("chat").empty());
+  EXPECT_TRUE(context.runners.runners_of_service("chat").empty());
   list("r1", kFirstStart);
   EXPECT_EQ(runner("r1")->in_flight(), 1U);
   EXPECT_TRUE(runner("r1")->ejected(monotonic_now()));
   // The same holds for resets, one while the entry is absent and one after it is back.
   sink.reset({});
-  EXPECT_TRUE(context.runners.of_service("chat").empty());
+  EXPECT_TRUE(context.runners.runners_of_service("chat").empty());
   sink.reset({{offset++, "r1", entry(kFirstStart)}});
   EXPECT_EQ(runner("r1")->in_flight(), 1U);
 }
@@ -250,7 +251,7 @@
       request.zone = "zone";
       request.affinity_key = mix_hashes(key, key);
       request.prompt_tokens = 100000;
-      request.shared_tokens = 100000;
+      request.shared_prefix_tokens = 100000;
       chosen.push_back(
           select_runner(context.runners, request, monotonic_now()).runner->record().id);
     }
--- a/tests/platform/starting_node_test.cc
+++ b/tests/platform/starting_node_test.cc
@@ -150,7 +150,7 @@
   finish();
   ASSERT_TRUE(context.configuration);
   EXPECT_EQ(context.configuration->version, kVersions);
-  EXPECT_LT(log.read_of(kConfigurationTopic).bytes, 2 * kPaddingBytes);
+  EXPECT_LT(log.reads_of_topics(kConfigurationTopic).bytes, 2 * kPaddingBytes);
 }
 
 }  // namespace
--- a/tests/quarantine/quarantine_fleet_test.cc
+++ b/tests/quarantine/quarantine_fleet_test.cc
@@ -100,7 +100,7 @@
     TimePoint due{};
     std::size_t to = 0;
     std::vector<RunnerExitReport> reports;
-    bool pass_on = false;
+    bool forward = false;
   };
 
   static constexpr TimePoint kStart{std::chrono::seconds(100)};
@@ -119,7 +119,7 @@
       if (scenario_.log) records_.emplace(content, std::pair(now_ + milliseconds(20), record));
     });
     for (const auto& [content, record] : delivered_) {
-      node.quarantine->take_record(content, record, now_, 0);
+      node.quarantine->apply_record(content, record, now_, 0);
     }
   }
 
@@ -161,7 +161,7 @@
   [[nodiscard]] bool is_quarantined(const Run& run) const {
     const Node& node = nodes_[run.node];
     const ContentHash content{run.content};
-    return scenario_.shared ? node.quarantine->holds(content, now_) : node.local.holds(content);
+    return scenario_.shared ? node.quarantine->contains(content, now_) : node.local.holds(content);
   }
 
   void send(Run run) {
@@ -223,14 +223,14 @@
     Node& node = nodes_[run.node];
     node.local.note_end(ContentHash{run.content});
     if (now_ >= run.delivers) return;
-    const RunStage stage = now_ >= run.begins ? RunStage::kBegun : RunStage::kWaiting;
-    node.quarantine->note_end({ContentHash{run.content}, runner, stage, now_});
+    const RunStage stage = now_ >= run.begins ? RunStage::kResponseStarted : RunStage::kWaiting;
+    node.quarantine->record_runner_exit({ContentHash{run.content}, runner, stage, now_});
   }
 
   void send_message(std::size_t from, std::size_t to, const std::vector<RunnerExitReport>& reports,
-                    bool pass_on) {
+                    bool forward) {
     if (is_partitioned(from) || is_partitioned(to) || random_.unit() < 0.02) return;
-    messages_.push_back({now_ + milliseconds(5 + random_.below(15)), to, reports, pass_on});
+    messages_.push_back({now_ + milliseconds(5 + random_.below(15)), to, reports, forward});
   }
 
   void send_to_zone(std::size_t from, const std::vector<RunnerExitReport>& reports) {
@@ -242,9 +242,9 @@
   void send_reports() {
     if (!scenario_.shared) return;
     for (std::size_t from = 0; from < nodes_.size(); ++from) {
-      const auto reports = nodes_[from].quarantine->take_zone_reports(now_);
+      const auto reports = nodes_[from].quarantine->next_zone_reports(now_);
       if (!reports.empty()) send_to_zone(from, reports);
-      const auto remote = nodes_[from].quarantine->take_remote_reports(now_);
+      const auto remote = nodes_[from].quarantine->next_remote_reports(now_);
       if (remote.empty()) continue;
       for (std::size_t zone = 0; zone < 3; ++zone) {
         const std::size_t to = 3 * random_.below(nodes_.size() / 3) + zone;
@@ -261,14 +261,14 @@
       return true;
     });
     for (const Message& message : due) {
-      nodes_[message.to].quarantine->take_reports(message.reports, now_);
-      if (message.pass_on) send_to_zone(message.to, message.reports);
+      nodes_[message.to].quarantine->apply_reports(message.reports, now_);
+      if (message.forward) send_to_zone(message.to, message.reports);
     }
     for (const auto& [content, entry] : records_) {
       if (entry.first > now_ || delivered_.contains(content)) continue;
       delivered_.emplace(content, entry.second);
       // Partitioned nodes still reach the log.
-      for (auto& node : nodes_) node.quarantine->take_record(content, entry.second, now_, 0);
+      for (auto& node : nodes_) node.quarantine->apply_record(content, entry.second, now_, 0);
     }
   }
 
--- a/tests/quarantine/quarantine_log_test.cc
+++ b/tests/quarantine/quarantine_log_test.cc
@@ -17,7 +17,7 @@
       : log(std::move(model), LogLimits{}), records(loop.get_executor(), log, quarantine) {
     records.start();
   }
-  [[nodiscard]] bool holds() const { return quarantine.holds(kPoisonRequest, monotonic_now()); }
+  [[nodiscard]] bool holds() const { return quarantine.contains(kPoisonRequest, monotonic_now()); }
 
   Quarantine quarantine{[](std::uint64_t) { return std::nullopt; }};
   FaultyRecordLog log;
@@ -28,7 +28,8 @@
  protected:
   void exit_runners(Node& node) {
     for (std::uint64_t runner = 1; runner <= 3; ++runner) {
-      node.quarantine.note_end({kPoisonRequest, runner, RunStage::kBegun, monotonic_now()});
+      node.quarantine.record_runner_exit(
+          {kPoisonRequest, runner, RunStage::kResponseStarted, monotonic_now()});
     }
   }
   template <typename Condition>
--- a/tests/quarantine/runner_exit_table_test.cc
+++ b/tests/quarantine/runner_exit_table_test.cc
@@ -20,7 +20,8 @@
         }) {}
 
   static TimePoint at(int seconds) { return TimePoint{} + std::chrono::seconds(seconds); }
-  void add_exit(ContentHash content, std::uint64_t runner, RunStage stage = RunStage::kBegun) {
+  void add_exit(ContentHash content, std::uint64_t runner,
+                RunStage stage = RunStage::kResponseStarted) {
     table.add({content, runner, stage, at(static_cast<int>(runner))});
   }
 
@@ -97,11 +98,11 @@
 }
 
 TEST_F(RunnerExitTableTest, ResultDoesNotDependOnTheOrderOfReports) {
-  const std::vector<RunnerExit> ends{{kPoisonRequest, 1, RunStage::kBegun, at(1)},
+  const std::vector<RunnerExit> ends{{kPoisonRequest, 1, RunStage::kResponseStarted, at(1)},
                                      {kInnocentRequest, 1, RunStage::kWaiting, at(1)},
                                      {kPoisonRequest, 2, RunStage::kWaiting, at(2)},
-                                     {kInnocentRequest, 2, RunStage::kBegun, at(2)},
-                                     {kPoisonRequest, 3, RunStage::kBegun, at(3)}};
+                                     {kInnocentRequest, 2, RunStage::kResponseStarted, at(2)},
+                                     {kPoisonRequest, 3, RunStage::kResponseStarted, at(3)}};
   RunnerExitTable reversed([](std::uint64_t) { return std::nullopt; });
   for (const auto& end : ends) table.add(end);
   for (auto end = ends.rbegin(); end != ends.rend(); ++end) reversed.add(*end);
--- a/tests/routing/batch_arbiter_test.cc
+++ b/tests/routing/batch_arbiter_test.cc
@@ -23,13 +23,13 @@
   void exchange_reports(TimePoint now = kStart) {
     for (std::size_t from = 0; from < kNodes; ++from) {
       for (std::size_t to = 0; to < kNodes; ++to) {
-        if (to != from) nodes[to].take(from + 1, nodes[from].report(), now);
+        if (to != from) nodes[to].apply_report(from + 1, nodes[from].report(), now);
       }
     }
   }
   bool may_take(std::size_t node, std::uint64_t runner, Duration after = Duration{0},
                 ItemUrgency urgency = ItemUrgency::kInTime) {
-    return nodes[node].may_take(kService, urgency, runner, kStart + after);
+    return nodes[node].may_use_runner(kService, urgency, runner, kStart + after);
   }
   std::size_t count_permitted_nodes(std::uint64_t runner, Duration after = Duration{0}) {
     std::size_t count = 0;
@@ -46,7 +46,7 @@
     return count;
   }
 
-  BatchTurns nodes[kNodes];
+  BatchArbiter nodes[kNodes];
 };
 
 TEST_F(BatchArbiterTest, SoleNodeWithItemsMayUseEveryRunner) {
--- a/tests/routing/batch_replay.cc
+++ b/tests/routing/batch_replay.cc
@@ -76,7 +76,7 @@
 struct Snapshot {
   double time = 0;
   std::vector<std::uint8_t> use;  ///< By runner.
-  BatchWait waiting;
+  BatchQueueDepth waiting;
 };
 
 struct Node {
@@ -87,8 +87,8 @@
   std::vector<std::uint8_t> use;
   std::vector<std::size_t> waiting;
   std::deque<Snapshot> snapshots;
-  std::unique_ptr<BatchTurns> turns;
-  BatchWait announced{.service = kService};  ///< Waiting items reported to `turns`.
+  std::unique_ptr<BatchArbiter> turns;
+  BatchQueueDepth announced{.service = kService};  ///< Waiting items reported to `turns`.
   double window = -1;
   double budget = 0;
   std::vector<std::uint8_t> begun_remote;
@@ -106,7 +106,7 @@
       node.zone = i % kZones;
       node.interval = scenario.half_slow_nodes && (i / kZones) % 2 == 0 ? 0.1 : 0.005;
       node.next = random_.unit() * node.interval;
-      node.turns = std::make_unique<BatchTurns>();
+      node.turns = std::make_unique<BatchArbiter>();
       node.turns->set_self(i + 1);
       nodes_.push_back(std::move(node));
     }
@@ -394,8 +394,9 @@
       if (snapshot == nullptr) continue;
       for (std::size_t r = node.zone; r < runners_.size(); r += kZones) load[r] += snapshot->use[r];
       const std::size_t items = snapshot->waiting.in_time + std::size_t{snapshot->waiting.late};
-      node.turns->take(i + 1, items > 0 ? std::vector{snapshot->waiting} : std::vector<BatchWait>{},
-                       at(snapshot->time));
+      node.turns->apply_report(
+          i + 1, items > 0 ? std::vector{snapshot->waiting} : std::vector<BatchQueueDepth>{},
+          at(snapshot->time));
       others_waiting_ += items;
       others_late_ += snapshot->waiting.late;
     }
@@ -495,7 +496,8 @@
         node.turns->record_no_free_slot(r + 1);
         continue;
       }
-      if (is_arbitrated() && !node.turns->may_take(kService, urgency_, r + 1, at(now_))) continue;
+      if (is_arbitrated() && !node.turns->may_use_runner(kService, urgency_, r + 1, at(now_)))
+        continue;
       candidates.push_back(r);
     }
     if (candidates.empty()) return runners_.size();
--- a/tests/routing/configuration_catch_up_test.cc
+++ b/tests/routing/configuration_catch_up_test.cc
@@ -33,7 +33,7 @@
   /// Advertises a version repeatedly, every 20 ms as digests do.
   void advertise(std::uint64_t advertised_version, int times) {
     for (int i = 0; i < times; ++i) {
-      catch_up.advertised(peer.address(), advertised_version);
+      catch_up.on_version_advertised(peer.address(), advertised_version);
       loop.run_for(std::chrono::milliseconds(20));
     }
   }
--- a/tests/routing/peer_ejections_test.cc
+++ b/tests/routing/peer_ejections_test.cc
@@ -25,30 +25,30 @@
 
 TEST(PeerEjectionsTest, OneReporterDoesNotEject) {
   PeerEjections ejections;
-  ejections.take(report(1, 0, 500), kStart);
-  ejections.take(report(1, 10, 600), kStart);
+  ejections.add_report(report(1, 0, 500), kStart);
+  ejections.add_report(report(1, 10, 600), kStart);
   EXPECT_EQ(ejections.ejected_until(kNever, {}, false), kNever);
 }
 
 TEST(PeerEjectionsTest, TwoReportersEjectUntilFirstRetry) {
   PeerEjections ejections;
-  ejections.take(report(1, 0, 500), kStart);
-  ejections.take(report(2, 0, 900), kStart);
+  ejections.add_report(report(1, 0, 500), kStart);
+  ejections.add_report(report(2, 0, 900), kStart);
   EXPECT_EQ(ejections.ejected_until(kNever, {}, false), after_ms(500));
-  ejections.take(report(3, 0, 700), kStart);
+  ejections.add_report(report(3, 0, 700), kStart);
   EXPECT_EQ(ejections.ejected_until(kNever, {}, false), after_ms(700));
 }
 
 TEST(PeerEjectionsTest, OwnFailureCountsAsReport) {
   PeerEjections ejections;
-  ejections.take(report(1, 0, 500), kStart);
+  ejections.add_report(report(1, 0, 500), kStart);
   EXPECT_EQ(ejections.ejected_until(kNever, {}, true), after_ms(500));
 }
 
 TEST(PeerEjectionsTest, LaterResponseRefutesReport) {
   PeerEjections ejections;
-  ejections.take(report(1, 0, 500, 3), kStart);
-  ejections.take(report(2, 20, 900, 2), kStart);
+  ejections.add_report(report(1, 0, 500, 3), kStart);
+  ejections.add_report(report(2, 20, 900, 2), kStart);
   EXPECT_EQ(ejections.failures(kNever, {}), 3U);
   EXPECT_EQ(ejections.ejected_until(after_ms(10), {}, false), kNever);
   EXPECT_EQ(ejections.failures(after_ms(10), {}), 2U);
@@ -114,7 +114,7 @@
       if (now < report.arrives_at) continue;
       for (auto& runner : runners_) {
         const auto receiver = static_cast<std::uint64_t>(&runner - runners_.data());
-        if (receiver != report.ejection.reporter) runner.take_peer_ejection(report.ejection, now);
+        if (receiver != report.ejection.reporter) runner.apply_peer_ejection(report.ejection, now);
       }
     }
     std::erase_if(sent_, [now](const SentReport& report) { return now >= report.arrives_at; });
@@ -145,14 +145,14 @@
 
 TEST(PeerEjectionsTest, RunnerThatRespondsAgainIsUsedByAllNodes) {
   Runner runner({"r1", "chat", "10.0.0.1:80", "zone", 5, false});
-  runner.take_peer_ejection(report(1, 0, 500), kStart);
-  runner.take_peer_ejection(report(2, 0, 500), kStart);
+  runner.apply_peer_ejection(report(1, 0, 500), kStart);
+  runner.apply_peer_ejection(report(2, 0, 500), kStart);
   EXPECT_TRUE(runner.ejected(after_ms(100)));
   // After the ejection one trial request at a time is allowed, over all nodes.
   EXPECT_FALSE(runner.ejected(after_ms(600)));
   runner.set_peer_use(1, 0);
   EXPECT_TRUE(runner.ejected(after_ms(600)));
-  runner.heard(after_ms(610));
+  runner.record_receive(after_ms(610));
   EXPECT_FALSE(runner.ejected(after_ms(610)));
 }
 
--- a/tests/routing/peer_loads_test.cc
+++ b/tests/routing/peer_loads_test.cc
@@ -44,14 +44,14 @@
   first.set_peers({{second.address(), "zone"}});
   const auto seen_by_second = [&] { return second_registry.all().at("r1")->total_backlog(); };
   first_registry.all().at("r1")->begin_attempt(700);
-  first.use_changed();
+  first.notify_use_changed();
   for (int step = 0; step < 1000 && seen_by_second() != 700; ++step) loop.run_one();
   EXPECT_EQ(seen_by_second(), 700U);
   // The second node was not given the address of the first one, but has received its message.
   EXPECT_EQ(second.peer_count(), 1U);
-  first_registry.all().at("r1")->prompt_read(700);
+  first_registry.all().at("r1")->record_prompt_processed(700);
   first_registry.all().at("r1")->end_attempt(AttemptOutcome::kServed, monotonic_now());
-  first.use_changed();
+  first.notify_use_changed();
   for (int step = 0; step < 1000 && seen_by_second() != 0; ++step) loop.run_one();
   EXPECT_EQ(seen_by_second(), 0U);
 }
@@ -90,16 +90,16 @@
   Node few_items(loop, "a", 2);
   Node many_items(loop, "b", 3);
   const YieldRequest anywhere{"chat", "a", 0};
-  EXPECT_FALSE(asking.loads.ask_for_place(anywhere));
+  EXPECT_FALSE(asking.loads.send_yield_request(anywhere));
   few_items.loads.set_peers({{asking.loads.address(), "a"}});
   many_items.loads.set_peers({{asking.loads.address(), "a"}});
   few_items.runner("a1").begin_attempt(0, WorkClass::kBatch);
   // Batch items at runners of another zone do not count.
   for (int i = 0; i < 5; ++i) few_items.runner("b1").begin_attempt(0, WorkClass::kBatch);
   for (int i = 0; i < 2; ++i) many_items.runner("a1").begin_attempt(0, WorkClass::kBatch);
-  few_items.loads.use_changed();
+  few_items.loads.notify_use_changed();
   run_until([&] { return asking.runner("a1").load(monotonic_now()) > 0.25; });
-  EXPECT_TRUE(asking.loads.ask_for_place(anywhere));
+  EXPECT_TRUE(asking.loads.send_yield_request(anywhere));
   run_until([&] { return !many_items.yield_requests.empty(); });
   EXPECT_EQ(many_items.yield_requests.front(), "chat/a");
   EXPECT_TRUE(few_items.yield_requests.empty());
@@ -115,10 +115,10 @@
   at_runner.loads.set_peers({{asking.loads.address(), "a"}});
   for (int i = 0; i < 5; ++i) elsewhere.runner("a1").begin_attempt(0, WorkClass::kBatch);
   at_runner.runner("a2").begin_attempt(0, WorkClass::kBatch);
-  elsewhere.loads.use_changed();
-  at_runner.loads.use_changed();
+  elsewhere.loads.notify_use_changed();
+  at_runner.loads.notify_use_changed();
   run_until([&] { return asking.loads.peer_count() == 2; });
-  EXPECT_TRUE(asking.loads.ask_for_place({"chat", "a", asking.runner("a2").hash()}));
+  EXPECT_TRUE(asking.loads.send_yield_request({"chat", "a", asking.runner("a2").hash()}));
   run_until([&] { return !at_runner.yield_requests.empty(); });
   EXPECT_TRUE(elsewhere.yield_requests.empty());
 }
@@ -133,7 +133,7 @@
   run_until([&] { return other.runner("a1").load(monotonic_now()) > 0.25; });
   EXPECT_GT(receiver.runner("a1").load(monotonic_now()), 0.25);
   // The request goes to the node that runs the items, not to the one that forwarded its digest.
-  EXPECT_TRUE(other.loads.ask_for_place({"chat", "a", 0}));
+  EXPECT_TRUE(other.loads.send_yield_request({"chat", "a", 0}));
   run_until([&] { return !user.yield_requests.empty(); });
   EXPECT_TRUE(receiver.yield_requests.empty());
 }
@@ -147,7 +147,7 @@
   second.loads.set_peers({{listed.loads.address(), "a"}});
   run_until([&] { return first.loads.peer_count() == 2 && second.loads.peer_count() == 2; });
   first.runner("a1").begin_attempt(700);
-  first.loads.use_changed();
+  first.loads.notify_use_changed();
   run_until([&] { return second.runner("a1").total_backlog() == 700; });
 }
 
@@ -157,11 +157,11 @@
   user.registry.upsert({"late", "chat", "10.0.0.3:80", "a", 10, false});
   user.loads.set_peers({{other.loads.address(), "a"}});
   user.runner("late").begin_attempt(300);
-  user.loads.use_changed();
+  user.loads.notify_use_changed();
   run_until([&] { return other.loads.peer_count() == 1; });
   other.registry.upsert({"late", "chat", "10.0.0.3:80", "a", 10, false});
   user.runner("late").begin_attempt(400);
-  user.loads.use_changed();
+  user.loads.notify_use_changed();
   run_until([&] { return other.runner("late").total_backlog() == 700; });
 }
 
@@ -188,7 +188,7 @@
     node.loads.set_peers({{third.loads.address(), "a"}});
     node.runner("a1").begin_attempt();
     node.runner("a1").end_attempt(AttemptOutcome::kUnreachable, monotonic_now());
-    node.loads.use_changed();
+    node.loads.notify_use_changed();
   };
   fail_attempt(first);
   run_until([&] { return third.loads.peer_count() == 1; });
@@ -210,17 +210,21 @@
     node->loads.share_runner_ends(*quarantines.back());
   }
   const auto holds = [&](std::size_t node) {
-    return quarantines[node]->holds(crashing_request, monotonic_now());
+    return quarantines[node]->contains(crashing_request, monotonic_now());
   };
   // Recorded before any other node is known, and reported once there is one.
-  quarantines[0]->note_end({crashing_request, 11, RunStage::kBegun, monotonic_now()});
+  quarantines[0]->record_runner_exit(
+      {crashing_request, 11, RunStage::kResponseStarted, monotonic_now()});
   run_until([&, turn = 0]() mutable { return ++turn > 5; });
   first.loads.set_peers({{second.loads.address(), "a"}, {far.loads.address(), "b"}});
   far.loads.set_peers({{second_far.loads.address(), "b"}});
-  quarantines[0]->note_end({crashing_request, 12, RunStage::kBegun, monotonic_now()});
-  quarantines[2]->note_end({crashing_request, 13, RunStage::kBegun, monotonic_now()});
+  quarantines[0]->record_runner_exit(
+      {crashing_request, 12, RunStage::kResponseStarted, monotonic_now()});
+  quarantines[2]->record_runner_exit(
+      {crashing_request, 13, RunStage::kResponseStarted, monotonic_now()});
   run_until([&] { return holds(2) && holds(3); });
-  quarantines[1]->note_end({crashing_request, 14, RunStage::kBegun, monotonic_now()});
+  quarantines[1]->record_runner_exit(
+      {crashing_request, 14, RunStage::kResponseStarted, monotonic_now()});
   run_until([&] { return holds(1); });
 }
 
@@ -233,7 +237,7 @@
                       : std::vector<ServiceDemand>{};
   });
   waiting.loads.set_peers({{neighbour.loads.address(), "a"}});
-  waiting.loads.use_changed();
+  waiting.loads.notify_use_changed();
   run_until([&] { return neighbour.registry.peers_wait_for("chat"); });
   EXPECT_FALSE(neighbour.registry.peers_wait_for("other"));
   // Without further reports, as after a crash of the node, the demand expires.
@@ -248,19 +252,20 @@
   SlotExchange lender_exchange(lender.registry, "a", 1, long_ago);
   SlotExchange forwarder_exchange(forwarder.registry, "a", 2, long_ago);
   SlotExchange borrower_exchange(borrower.registry, "b", 3, long_ago);
-  const auto none = [](TimePoint) { return std::vector<WaitingWork>{}; };
+  const auto none = [](TimePoint) { return std::vector<WaitingRequest>{}; };
   const auto late_requests = [](TimePoint) {
-    return std::vector<WaitingWork>{{stable_hash(std::string("chat")), Duration{0}, Duration{0}}};
+    return std::vector<WaitingRequest>{
+        {stable_hash(std::string("chat")), Duration{0}, Duration{0}}};
   };
-  lender.loads.share_slots(lender_exchange, none);
-  forwarder.loads.share_slots(forwarder_exchange, none);
-  borrower.loads.share_slots(borrower_exchange, late_requests);
+  lender.loads.set_slot_exchange(lender_exchange, none);
+  forwarder.loads.set_slot_exchange(forwarder_exchange, none);
+  borrower.loads.set_slot_exchange(borrower_exchange, late_requests);
   borrower.registry.set_lending(true);
   lender.loads.set_peers({{forwarder.loads.address(), "a"}});
   forwarder.loads.set_peers({{lender.loads.address(), "a"}});
   // The node that receives the request need not be the lender of the runner.
   borrower.loads.set_peers({{forwarder.loads.address(), "a"}});
-  borrower.loads.use_changed();
+  borrower.loads.notify_use_changed();
   const auto lent = [](Node& node) { return node.runner("a1").lent(); };
   run_until([&] { return borrower.runner("a1").unused_borrowed(monotonic_now()) == 1; });
   EXPECT_EQ(lent(lender) + lent(forwarder), 1U);
@@ -281,7 +286,7 @@
 
   TenantDirectory directory{{{"alder", {"key"}, {}, {0.01, 100}}}};
   RunnerRegistry registry;
-  TenantLimits limits;
+  TenantRateLimiter limits;
   PeerLoads loads;
 };
 
@@ -302,7 +307,7 @@
   for (int i = 0; i < 3; ++i) {
     leaving.limits.admit(leaving.directory.tenants().front(), monotonic_now());
   }
-  leaving.loads.use_changed();
+  leaving.loads.notify_use_changed();
   run_until([&] {
     return neighbour.available() < initially_available - 2 &&
            far.available() < initially_available - 2;
--- a/tests/routing/placement_queue_test.cc
+++ b/tests/routing/placement_queue_test.cc
@@ -23,7 +23,7 @@
     request.work = work;
     request.priority = priority;
     request.due = monotonic_now();
-    request.give_up = monotonic_now() + std::chrono::seconds(30);
+    request.queue_deadline = monotonic_now() + std::chrono::seconds(30);
     return request;
   }
   std::shared_ptr<PlacementTicket> wait(const std::string& name, PlacementRequest request) {
@@ -149,18 +149,18 @@
   PlacementRequest once = make_request(WorkClass::kOnline);
   once.runs_once = true;
   once.first_event = std::chrono::milliseconds(45);
-  once.last_use = monotonic_now() + std::chrono::milliseconds(150);
+  once.first_event_deadline = monotonic_now() + std::chrono::milliseconds(150);
   wait("once", once);
   EXPECT_EQ(order, (std::vector<std::string>{"batch"}));
-  once.last_use = monotonic_now() + std::chrono::seconds(2);
+  once.first_event_deadline = monotonic_now() + std::chrono::seconds(2);
   wait("once, with time", once);
   EXPECT_EQ(order, (std::vector<std::string>{"batch", "once, with time"}));
 }
 
 // Guards against batch taking the next free slot because a rejected request no longer waits.
 TEST_F(PlacementQueueTest, BatchTakesNoSlotRightAfterOnlineRejection) {
-  queue.decisions().reviews = [] { return true; };
-  queue.decisions().review = [](const PlacementRequest&, const QueuePosition&, TimePoint) {
+  queue.placement_policy().reviews_enabled = [] { return true; };
+  queue.placement_policy().review = [](const PlacementRequest&, const QueuePosition&, TimePoint) {
     return std::optional(PlacementRejection{});
   };
   wait("first", make_request(WorkClass::kOnline));
@@ -182,7 +182,9 @@
 TEST_F(PlacementQueueTest, BatchReservesOnlyFractionForReturningCallers) {
   registry.upsert({"r1", "chat", "10.0.0.1:80", "zone", 10, false});
   double fraction = 0.5;
-  queue.decisions().batch_leaves = [&](const std::string&, TimePoint) { return fraction; };
+  queue.placement_policy().batch_reserve_fraction = [&](const std::string&, TimePoint) {
+    return fraction;
+  };
   for (int i = 0; i < 5; ++i) registry.all().at("r1")->begin_attempt();
   wait("batch", make_request(WorkClass::kBatch));
   EXPECT_TRUE(order.empty());
@@ -194,15 +196,15 @@
 
 TEST_F(PlacementQueueTest, NewcomersYieldWhileReturningCallersAreExpected) {
   bool due = true;
-  queue.decisions().returns_due = [&](const std::string&) { return due; };
-  queue.decisions().may_leave_to_returned = [](const PlacementRequest& request) {
+  queue.placement_policy().expects_booked_retries = [&](const std::string&) { return due; };
+  queue.placement_policy().may_yield_to_booked_retries = [](const PlacementRequest& request) {
     return request.priority == 1;
   };
   wait("first", make_request(WorkClass::kOnline));
   PlacementRequest request = make_request(WorkClass::kOnline, 1);
   request.due = monotonic_now() + std::chrono::seconds(20);
   wait("newcomer", request);
-  request.standing = AdmissionStanding::kReturned;
+  request.standing = AdmissionClass::kBookedRetry;
   wait("returned", request);
   const auto demand = queue.online_demand();
   ASSERT_EQ(demand.size(), 1U);
@@ -241,9 +243,9 @@
   registry.upsert({"r2", "chat", "10.0.0.1:80", "zone", 2, false});
   Runner& runner = *registry.all().at("r2");
   for (int i = 0; i < 2; ++i) runner.begin_attempt();
-  EXPECT_FALSE(queue.relieve(runner));
+  EXPECT_FALSE(queue.preempt_if_overcommitted(runner));
   runner.set_peer_use(1, 0);
-  EXPECT_TRUE(queue.relieve(runner));
+  EXPECT_TRUE(queue.preempt_if_overcommitted(runner));
   EXPECT_EQ(asked, (std::vector<const Runner*>{&runner}));
 }
 
@@ -305,15 +307,17 @@
 class PlacementFairShareTest : public PlacementQueueTest {
  protected:
   PlacementFairShareTest() {
-    PlacementDecisions decisions;
-    decisions.turn = [this](const PlacementRequest& request, TimePoint) {
+    PlacementPolicy decisions;
+    decisions.fair_share_rank = [this](const PlacementRequest& request, TimePoint) {
       return turns[request.tenant];
     };
-    decisions.left = [this](const PlacementRequest& request, TimePoint) {
+    decisions.on_unplaced = [this](const PlacementRequest& request, TimePoint) {
       left.push_back(request.tenant);
     };
-    decisions.yields = [](const PlacementRequest& request) { return request.turn >= 1; };
-    queue.decisions() = std::move(decisions);
+    decisions.yields_to_peers = [](const PlacementRequest& request) {
+      return request.fair_share_rank >= 1;
+    };
+    queue.placement_policy() = std::move(decisions);
   }
   PlacementRequest make_tenant_request(const std::string& tenant, std::uint32_t priority = 0) {
     PlacementRequest request = make_request(WorkClass::kOnline, priority);
@@ -327,11 +331,11 @@
 };
 
 TEST_F(PlacementFairShareTest, LowerRankGoesFirstWithinPriorityOnly) {
-  PlacementDecisions without_yields;
-  without_yields.turn = [this](const PlacementRequest& request, TimePoint) {
+  PlacementPolicy without_yields;
+  without_yields.fair_share_rank = [this](const PlacementRequest& request, TimePoint) {
     return turns[request.tenant];
   };
-  queue.decisions() = std::move(without_yields);
+  queue.placement_policy() = std::move(without_yields);
   wait("first", make_tenant_request("light"));
   wait("heavy", make_tenant_request("heavy"));
   wait("light, less urgent", make_tenant_request("light", 1));
--- a/tests/routing/runner_errors_test.cc
+++ b/tests/routing/runner_errors_test.cc
@@ -16,9 +16,9 @@
 TEST(RunnerErrorsTest, TwoErrorsExceedTheLimit) {
   RunnerErrors errors;
   errors.count(true, kStart);
-  EXPECT_FALSE(errors.suspect(kStart));
+  EXPECT_FALSE(errors.has_high_error_rate(kStart));
   errors.count(true, kStart);
-  EXPECT_TRUE(errors.suspect(kStart));
+  EXPECT_TRUE(errors.has_high_error_rate(kStart));
 }
 
 TEST(RunnerErrorsTest, FewErrorsAmongManyResponsesAreTolerated) {
@@ -26,7 +26,7 @@
   for (int i = 0; i < 20; ++i) errors.count(false, kStart);
   errors.count(true, kStart);
   errors.count(true, kStart);
-  EXPECT_FALSE(errors.suspect(kStart));
+  EXPECT_FALSE(errors.has_high_error_rate(kStart));
 }
 
 TEST(RunnerErrorsTest, ErrorsSeenByDifferentNodesAddUp) {
@@ -37,19 +37,19 @@
   const auto report = first.own_report(kStart);
   ASSERT_TRUE(report);
   second.take_report(7, *report, kStart);
-  EXPECT_TRUE(second.suspect(kStart));
+  EXPECT_TRUE(second.has_high_error_rate(kStart));
   // A repeated report counts once.
   RunnerErrors third;
   third.take_report(7, *report, kStart);
   third.take_report(7, *report, kStart);
-  EXPECT_FALSE(third.suspect(kStart));
+  EXPECT_FALSE(third.has_high_error_rate(kStart));
 }
 
 TEST(RunnerErrorsTest, OldErrorsExpire) {
   RunnerErrors errors;
   errors.count(true, kStart);
   errors.count(true, kStart);
-  EXPECT_FALSE(errors.suspect(kStart + seconds(5)));
+  EXPECT_FALSE(errors.has_high_error_rate(kStart + seconds(5)));
   EXPECT_FALSE(errors.own_report(kStart + seconds(10)));
 }
 
@@ -59,8 +59,8 @@
 
 void fail_with_error(Runner& runner, TimePoint now) {
   runner.begin_attempt();
-  runner.heard(now);
-  runner.end_attempt(evidence_of(AttemptResult::kFailed), now);
+  runner.record_receive(now);
+  runner.end_attempt(runner_outcome(AttemptResult::kFailed), now);
 }
 
 // Guards against ignoring errors of a runner: a 500 response to a batch item was not counted, and
@@ -72,15 +72,15 @@
   EXPECT_FALSE(runner.ejected(kStart));
   fail_with_error(runner, kStart);
   EXPECT_TRUE(runner.ejected(kStart));
-  runner.heard(kStart + milliseconds(1));
+  runner.record_receive(kStart + milliseconds(1));
   EXPECT_TRUE(runner.ejected(kStart + milliseconds(2)));
   ASSERT_TRUE(runner.own_ejection(kStart + milliseconds(2)));
   EXPECT_TRUE(runner.own_ejection(kStart + milliseconds(2))->by_errors);
 }
 
 TEST(RunnerErrorsTest, ErrorsPassedToTheCallerCount) {
-  EXPECT_EQ(evidence_of(AttemptResult::kErrorPassedOn), AttemptOutcome::kError);
-  EXPECT_EQ(evidence_of(AttemptResult::kFailed), AttemptOutcome::kError);
+  EXPECT_EQ(runner_outcome(AttemptResult::kErrorRelayed), AttemptOutcome::kError);
+  EXPECT_EQ(runner_outcome(AttemptResult::kFailed), AttemptOutcome::kError);
 }
 
 TEST(RunnerErrorsTest, SingleTrialRequestRestoresRunnerAfterEjection) {
@@ -106,14 +106,14 @@
 
 TEST(RunnerErrorsTest, EjectionReportedByOnePeerIsApplied) {
   Runner runner = make_runner();
-  runner.heard(kStart);
-  runner.take_peer_ejection({.reporter = 7,
-                             .failed_at = kStart,
-                             .until = kStart + seconds(1),
-                             .failures = 2,
-                             .by_errors = true},
-                            kStart);
-  runner.heard(kStart + milliseconds(100));
+  runner.record_receive(kStart);
+  runner.apply_peer_ejection({.reporter = 7,
+                              .failed_at = kStart,
+                              .until = kStart + seconds(1),
+                              .failures = 2,
+                              .by_errors = true},
+                             kStart);
+  runner.record_receive(kStart + milliseconds(100));
   EXPECT_TRUE(runner.ejected(kStart + milliseconds(200)));
 }
 
--- a/tests/routing/runner_registry_test.cc
+++ b/tests/routing/runner_registry_test.cc
@@ -16,9 +16,9 @@
 TEST(RunnerRegistryTest, RemovedRunnerIsUnavailableToExistingReferences) {
   RunnerRegistry registry;
   registry.upsert(make_record("r1"));
-  const auto held = registry.of_service("chat").front();
+  const auto held = registry.runners_of_service("chat").front();
   registry.remove("r1");
-  EXPECT_TRUE(registry.of_service("chat").empty());
+  EXPECT_TRUE(registry.runners_of_service("chat").empty());
   EXPECT_FALSE(held->available());
 }
 
@@ -43,8 +43,8 @@
   RunnerRegistry registry;
   registry.upsert(make_record("r1"));
   registry.replace_all({make_record("r2")});
-  ASSERT_EQ(registry.of_service("chat").size(), 1U);
-  EXPECT_EQ(registry.of_service("chat").front()->record().id, "r2");
+  ASSERT_EQ(registry.runners_of_service("chat").size(), 1U);
+  EXPECT_EQ(registry.runners_of_service("chat").front()->record().id, "r2");
 }
 
 TEST(RunnerTest, LoadIncludesOwnPeerAndReportedRequests) {
@@ -53,7 +53,7 @@
   EXPECT_DOUBLE_EQ(runner.load(kStart), 0.1);
   runner.set_peer_use(2, 0);
   EXPECT_DOUBLE_EQ(runner.load(kStart), 0.3);
-  runner.take_report({5, 1, 10}, kStart);  // Three of the six requests are known here.
+  runner.apply_load_report({5, 1, 10}, kStart);  // Three of the six requests are known here.
   EXPECT_DOUBLE_EQ(runner.load(kStart), 0.6);
   runner.begin_attempt();
   EXPECT_DOUBLE_EQ(runner.load(kStart), 0.7);
@@ -61,7 +61,7 @@
 
 TEST(RunnerTest, LoadReportDecaysWithAge) {
   Runner runner(make_record("r1"));
-  runner.take_report({10, 0, 10}, kStart);
+  runner.apply_load_report({10, 0, 10}, kStart);
   EXPECT_DOUBLE_EQ(runner.load(kStart + std::chrono::milliseconds(100)), 1.0);
   EXPECT_LT(runner.load(kStart + std::chrono::milliseconds(2000)), 0.5);
   EXPECT_DOUBLE_EQ(runner.load(kStart + std::chrono::seconds(5)), 0.0);
@@ -86,7 +86,7 @@
   runner.begin_attempt(500);
   runner.set_peer_use(1, 200);
   EXPECT_EQ(runner.total_backlog(), 700U);
-  runner.prompt_read(500);
+  runner.record_prompt_processed(500);
   EXPECT_EQ(runner.total_backlog(), 200U);
 }
 
--- a/tests/routing/runner_selector_test.cc
+++ b/tests/routing/runner_selector_test.cc
@@ -54,9 +54,9 @@
     if (runner("f" + std::to_string(i))->in_flight() == 0) fill("f" + std::to_string(i), 1);
   }
   // A load report with free slots makes a runner usable, a report of a full runner does not.
-  runner(trial)->take_report({4, 0, 10}, kNow);
+  runner(trial)->apply_load_report({4, 0, 10}, kNow);
   EXPECT_EQ(chosen(request), trial);
-  runner(trial)->take_report({10, 3, 10}, kNow);
+  runner(trial)->apply_load_report({10, 3, 10}, kNow);
   EXPECT_EQ(chosen(request), "");
 }
 
@@ -65,19 +65,19 @@
   fill("f1", 1);
   request.load_limit = 1.0;
   EXPECT_EQ(chosen(request), "");
-  runner("f1")->heard(kNow);
+  runner("f1")->record_receive(kNow);
   EXPECT_EQ(chosen(request), "f1");
 }
 
 // Guards against all nodes of a zone placing batch items in the same free slots.
 TEST_F(RunnerSelectorTest, BatchUsesOnlyRunnersAssignedToThisNode) {
   for (int i = 0; i < 20; ++i) add("n" + std::to_string(i), "near");
-  BatchTurns turns;
+  BatchArbiter turns;
   turns.set_self(1);
   const std::uint64_t service = stable_hash("chat");
   turns.begin_wait(service, ItemUrgency::kInTime);
-  turns.take(2, {{.service = service, .in_time = 1}}, kNow);
-  request.turns = &turns;
+  turns.apply_report(2, {{.service = service, .in_time = 1}}, kNow);
+  request.batch_arbiter = &turns;
   request.load_limit = 0.85;
   std::set<std::string> taken;
   for (std::string id = chosen(request); !id.empty(); id = chosen(request)) {
@@ -112,7 +112,7 @@
   for (int i = 0; i < 5; ++i) add("n" + std::to_string(i), "near");
   request.affinity_key = 77;
   request.prompt_tokens = 9000;
-  request.shared_tokens = 6000;
+  request.shared_prefix_tokens = 6000;
   const std::string warm = chosen(request);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(chosen(request), warm);
   fill(warm, 1, 20000);
@@ -150,12 +150,12 @@
 
 TEST_F(RunnerSelectorTest, ReusableConnectionBreaksTies) {
   for (const char* id : {"n1", "n2", "n3", "n4"}) add(id, "near");
-  request.connected = [](const Runner& runner) { return runner.record().id == "n3"; };
+  request.has_reusable_connection = [](const Runner& runner) { return runner.record().id == "n3"; };
   for (int i = 0; i < 20; ++i) EXPECT_EQ(chosen(request), "n3");
   // A less loaded runner is preferred to one with a connection.
   fill("n3", 1);
   EXPECT_NE(chosen(request), "n3");
-  request.connected = [](const Runner&) { return false; };
+  request.has_reusable_connection = [](const Runner&) { return false; };
   EXPECT_FALSE(chosen(request).empty());
 }
 
@@ -166,8 +166,8 @@
 /// too.
 TEST_F(RunnerSelectorTest, ReusableConnectionOutweighsSlightlyLowerLoadIfConfigured) {
   for (const char* id : {"n1", "n2"}) add(id, "near");
-  request.connected = [](const Runner& runner) { return runner.record().id == "n2"; };
-  request.keep_connections = true;
+  request.has_reusable_connection = [](const Runner& runner) { return runner.record().id == "n2"; };
+  request.prefer_reusable_connections = true;
   fill("n2", 2);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(chosen(request), "n2");
   fill("n2", 2);
@@ -182,8 +182,8 @@
   add("busy", "far");
   add("idle", "far");
   fill("n1", 10);
-  runner("busy")->take_zone_load(0.9, kNow);
-  runner("idle")->take_zone_load(0.3, kNow);
+  runner("busy")->apply_zone_load(0.9, kNow);
+  runner("idle")->apply_zone_load(0.3, kNow);
   request.load_limit = 1.0;
   // Requests sent since the report are added to the reported load.
   for (int i = 0; i < 5; ++i) {
@@ -204,9 +204,9 @@
       observe("slow", 80);
     }
     request.speeds = &model;
-    request.needs = {.route = kRoute,
-                     .first_event_due = kNow + std::chrono::milliseconds(300),
-                     .event_gap_objective = std::chrono::milliseconds(200)};
+    request.latency_objectives = {.route = kRoute,
+                                  .first_event_due = kNow + std::chrono::milliseconds(300),
+                                  .event_gap_objective = std::chrono::milliseconds(200)};
   }
   void observe(const std::string& id, int milliseconds) {
     RunnerSpeed& speed = runner(id)->speed();
@@ -221,7 +221,9 @@
 
 TEST_F(LatencyBasedSelectionTest, FasterRunnerWinsRegardlessOfConnections) {
   for (int i = 0; i < 20; ++i) EXPECT_EQ(chosen(request), "fast");
-  request.connected = [](const Runner& runner) { return runner.record().id == "slow"; };
+  request.has_reusable_connection = [](const Runner& runner) {
+    return runner.record().id == "slow";
+  };
   EXPECT_EQ(chosen(request), "fast");
 }
 
@@ -232,9 +234,9 @@
 }
 
 TEST_F(LatencyBasedSelectionTest, CurrentlySlowRunnerIsSkipped) {
-  request.needs.event_gap_objective = Duration{0};  // Only the first event matters.
-  model.take_slowness(runner("fast")->speed(), 400, kNow, true);
-  model.take_slowness(runner("slow")->speed(), 100, kNow, true);
+  request.latency_objectives.event_gap_objective = Duration{0};  // Only the first event matters.
+  model.apply_slowness_report(runner("fast")->speed(), 400, kNow, true);
+  model.apply_slowness_report(runner("slow")->speed(), 100, kNow, true);
   EXPECT_EQ(chosen(request), "slow");
 }
 
@@ -243,12 +245,12 @@
 TEST_F(LatencyBasedSelectionTest, EventGapObjectiveOutweighsFirstEventTime) {
   // Machines were 2.5 times slower until just before.
   for (const char* id : {"fast", "slow"}) {
-    model.take_slowness(runner(id)->speed(), 250, kNow - std::chrono::seconds(2), true);
-    model.take_slowness(runner(id)->speed(), 100, kNow, true);
+    model.apply_slowness_report(runner(id)->speed(), 250, kNow - std::chrono::seconds(2), true);
+    model.apply_slowness_report(runner(id)->speed(), 100, kNow, true);
   }
   fill("fast", 8, 1500);
   // Longest gaps: about 100 ms at the fast runner and 200 ms at the slow one.
-  request.needs.event_gap_objective = std::chrono::milliseconds(150);
+  request.latency_objectives.event_gap_objective = std::chrono::milliseconds(150);
   const Selection selection = select_runner(registry, request, kNow);
   ASSERT_TRUE(selection.runner);
   EXPECT_EQ(selection.runner->record().id, "fast");
@@ -256,7 +258,7 @@
 }
 
 TEST_F(LatencyBasedSelectionTest, RequestLateEverywhereIsStillPlaced) {
-  request.needs.first_event_due = kNow - std::chrono::seconds(1);
+  request.latency_objectives.first_event_due = kNow - std::chrono::seconds(1);
   EXPECT_EQ(chosen(request), "fast");
 }
 
@@ -269,9 +271,9 @@
   fill("n2", 7);
   constexpr std::uint32_t kLarge = 50000;
   {
-    const RunnerHold hold(runner("n1"), kLarge);
+    const RunnerMemoryReservation hold(runner("n1"), kLarge);
     runner("n1")->begin_attempt(kLarge);
-    runner("n1")->take_report({1, 0, 10}, kNow);
+    runner("n1")->apply_load_report({1, 0, 10}, kNow);
     runner("n1")->end_attempt(AttemptOutcome::kNotRun, kNow, kLarge);
   }
   EXPECT_EQ(chosen(request), "n1");
@@ -284,7 +286,7 @@
   add("n2", "near");
   fill("n2", 7);
   runner("n1")->begin_attempt();
-  runner("n1")->take_report({10, 0, 10}, kNow - std::chrono::seconds(1));
+  runner("n1")->apply_load_report({10, 0, 10}, kNow - std::chrono::seconds(1));
   runner("n1")->end_attempt(AttemptOutcome::kNotRun, kNow);
   EXPECT_EQ(chosen(request), "n2");
 }
--- a/tests/routing/runner_speed_test.cc
+++ b/tests/routing/runner_speed_test.cc
@@ -24,10 +24,10 @@
 
 TEST(RunnerSpeedTest, OutdatedAndDuplicateReportsAreIgnored) {
   RunnerSpeed runner;
-  runner.take_slowness(250, kNow, false);
-  runner.take_slowness(100, kNow - milliseconds(40), false);
+  runner.apply_slowness_report(250, kNow, false);
+  runner.apply_slowness_report(100, kNow - milliseconds(40), false);
   EXPECT_EQ(runner.reported_percent(), 250U);
-  runner.take_slowness(250, kNow, false);
+  runner.apply_slowness_report(250, kNow, false);
   EXPECT_DOUBLE_EQ(runner.slowness(1.2, kNow), 2.5);
 }
 
@@ -37,8 +37,8 @@
 TEST(RunnerSpeedTest, ReportFadesToRunnersOwnMean) {
   RunnerSpeed runner;
   EXPECT_DOUBLE_EQ(runner.slowness(1.2, kNow), 1.2);
-  for (int i = 100; i > 0; --i) runner.take_slowness(160, kNow - milliseconds(i), false);
-  runner.take_slowness(400, kNow, true);
+  for (int i = 100; i > 0; --i) runner.apply_slowness_report(160, kNow - milliseconds(i), false);
+  runner.apply_slowness_report(400, kNow, true);
   EXPECT_DOUBLE_EQ(runner.slowness(1.2, kNow), 4);
   const double later = runner.slowness(1.2, kNow + milliseconds(600));
   EXPECT_NEAR(later, 1.6, 0.1);
@@ -47,7 +47,7 @@
 
 TEST(RunnerSpeedTest, SingleReportBarelyChangesMean) {
   RunnerSpeed runner;
-  runner.take_slowness(250, kNow, true);
+  runner.apply_slowness_report(250, kNow, true);
   EXPECT_NEAR(runner.slowness(1.2, kNow + milliseconds(600)), 1.46, 0.01);
 }
 
@@ -100,13 +100,13 @@
   RunnerSpeed changing;
   for (int i = 0; i < 200; ++i) {
     const bool slow = i % 4 == 0;
-    model.take_slowness(steady, 100, kNow, true);
-    model.take_slowness(changing, slow ? 250 : 100, kNow, true);
+    model.apply_slowness_report(steady, 100, kNow, true);
+    model.apply_slowness_report(changing, slow ? 250 : 100, kNow, true);
     feed_responses(model, steady, 1, 1);
     feed_responses(model, changing, slow ? 2.5 : 1, 1);
   }
   EXPECT_NEAR(changing.relative_time() / steady.relative_time(), 1, 0.05);
-  model.take_slowness(changing, 250, kNow, true);
+  model.apply_slowness_report(changing, 250, kNow, true);
   EXPECT_NEAR(first_event_ms(model, changing), 125, 12);
 }
 
@@ -116,8 +116,8 @@
   RunnerSpeed accurate;
   RunnerSpeed misreporting;
   for (int i = 0; i < 300; ++i) {
-    model.take_slowness(accurate, 100, kNow, true);
-    model.take_slowness(misreporting, 400, kNow, true);
+    model.apply_slowness_report(accurate, 100, kNow, true);
+    model.apply_slowness_report(misreporting, 400, kNow, true);
     feed_responses(model, accurate, 1, 1);
     feed_responses(model, misreporting, 1, 1);
   }
@@ -143,17 +143,17 @@
 TEST(RunnerSpeedTest, PeerReportsAreAppliedAndInvalidOnesIgnored) {
   SpeedModel model;
   RunnerSpeed runner;
-  EXPECT_TRUE(model.take(runner, {1, 250, 100, 410, 16}, kNow));
+  EXPECT_TRUE(model.apply_report(runner, {1, 250, 100, 410, 16}, kNow));
   EXPECT_NEAR(runner.relative_time(), 1.6, 0.01);
   EXPECT_EQ(runner.reported_at(), kNow - milliseconds(100));
   // Missing or invalid slowness leaves the known state unchanged.
-  EXPECT_FALSE(model.take(runner, {1, 0, 0, 0, 0}, kNow));
-  EXPECT_FALSE(model.take(runner, {1, 9, 0, 410, 0}, kNow));
-  EXPECT_FALSE(model.take(runner, {1, 65535, 0, 0, 9}, kNow));
+  EXPECT_FALSE(model.apply_report(runner, {1, 0, 0, 0, 0}, kNow));
+  EXPECT_FALSE(model.apply_report(runner, {1, 9, 0, 410, 0}, kNow));
+  EXPECT_FALSE(model.apply_report(runner, {1, 65535, 0, 0, 9}, kNow));
   EXPECT_EQ(runner.reported_percent(), 250U);
   EXPECT_NEAR(runner.relative_time(), 1.6, 0.01);
   // A learned time out of bounds counts as the bound.
-  EXPECT_TRUE(model.take(runner, {1, 100, 0, 65535, 255}, kNow));
+  EXPECT_TRUE(model.apply_report(runner, {1, 100, 0, 65535, 255}, kNow));
   EXPECT_LE(runner.relative_time(), 16);
 }
 
@@ -162,9 +162,9 @@
   RunnerSpeed runner;
   feed_responses(model, runner, 1, 10);
   const SpeedReport report{1, 0, 0, 410, 16};
-  model.take(runner, report, kNow);
+  model.apply_report(runner, report, kNow);
   const double once = runner.relative_time();
-  model.take(runner, report, kNow);
+  model.apply_report(runner, report, kNow);
   EXPECT_NEAR(runner.relative_time(), once, 0.15);
 }
 
--- a/tests/routing/slot_arbitration_test.cc
+++ b/tests/routing/slot_arbitration_test.cc
@@ -67,7 +67,7 @@
     if (is_any(waiting)) digest.demand.push_back(waiting);
     std::vector<ServiceDemand> own;
     if (is_any(own_waiting)) own.push_back(own_waiting);
-    table.take(std::move(digest), {}, own, now);
+    table.apply(std::move(digest), {}, own, now);
   }
   Runner& runner() { return *registry.all().at("r1"); }
 
--- a/tests/routing/slot_exchange_test.cc
+++ b/tests/routing/slot_exchange_test.cc
@@ -36,7 +36,7 @@
     RunnerRegistry registry;
     SlotExchange exchange;
     SlotExchangeCallbacks callbacks;
-    std::vector<WaitingWork> waiting;
+    std::vector<WaitingRequest> waiting;
     std::vector<std::string> preempted;
     int lent_changes = 0;
   };
--- a/tests/routing/slot_loan_fleet.h
+++ b/tests/routing/slot_loan_fleet.h
@@ -422,7 +422,7 @@
     const auto& waiting = zones_[node.zone].waiting;
     const double zone_slots =
         kSlots * static_cast<double>(runners_.size()) / static_cast<double>(scenario_.zones);
-    std::vector<WaitingWork> own_requests;
+    std::vector<WaitingRequest> own_requests;
     for (const Request& request : waiting) {
       if (request.node != node_index) continue;
       own_requests.push_back({1, kPlacementDeadline - (now_ - request.arrival),
--- a/tests/routing/slot_loans_test.cc
+++ b/tests/routing/slot_loans_test.cc
@@ -262,21 +262,21 @@
 
 TEST(SlotsToBorrowTest, BorrowsNothingForRequestsServedInTimeByOwnZone) {
   // 240 slots with a slot time of 0.8 s: one becomes free every 3.3 ms.
-  const WaitingWork work{kService, milliseconds(200), milliseconds(800)};
-  const std::vector<WaitingWork> waiting(4, work);
+  const WaitingRequest work{kService, milliseconds(200), milliseconds(800)};
+  const std::vector<WaitingRequest> waiting(4, work);
   EXPECT_EQ(slots_to_borrow(waiting, {240, 10}, milliseconds(2)), 0U);
   // With 100 requests in the zone, those behind the first 29 wait longer than half of their slack.
   EXPECT_EQ(slots_to_borrow(waiting, {240, 96}, milliseconds(2)), 3U);
 }
 
 TEST(SlotsToBorrowTest, BorrowsEarlierWithLongerRoundTrip) {
-  const std::vector<WaitingWork> waiting{{kService, milliseconds(200), milliseconds(800)}};
+  const std::vector<WaitingRequest> waiting{{kService, milliseconds(200), milliseconds(800)}};
   EXPECT_EQ(slots_to_borrow(waiting, {240, 10}, milliseconds(2)), 0U);
   EXPECT_EQ(slots_to_borrow(waiting, {240, 10}, milliseconds(100)), 1U);
 }
 
 TEST(SlotsToBorrowTest, BorrowsForEachRequestWithoutOwnSlotsOrSlotTime) {
-  const WaitingWork work{kService, milliseconds(200), milliseconds(800)};
+  const WaitingRequest work{kService, milliseconds(200), milliseconds(800)};
   EXPECT_EQ(slots_to_borrow({work}, {0, 0}, milliseconds(2)), 1U);
   EXPECT_EQ(slots_to_borrow({{kService, milliseconds(200), {}}}, {240, 0}, milliseconds(2)), 1U);
 }
--- a/tests/routing/slow_runner_test.cc
+++ b/tests/routing/slow_runner_test.cc
@@ -38,8 +38,8 @@
     SelectionRequest request{.service = "chat", .zone = "near", .prompt_tokens = 100};
     request.speeds = &model;
     request.work = work;
-    request.needs.route = kRoute;
-    request.needs.first_event_due = now + std::chrono::seconds(100);
+    request.latency_objectives.route = kRoute;
+    request.latency_objectives.first_event_due = now + std::chrono::seconds(100);
     const Selection selection = select_runner(registry, request, now);
     EXPECT_NE(selection.runner, nullptr);
     return selection.candidates;
@@ -97,18 +97,19 @@
   for (int i = 0; i < 4; ++i) feed_responses(0, 1, 12);
   SpeedModel other;
   RunnerSpeed there;
-  other.take(there, runner(0).speed().report(1, now), now);
+  other.apply_report(there, runner(0).speed().report(1, now), now);
   EXPECT_GT(there.latency_outliers().all(now).outliers, 2.5);
 }
 
 // 0 and 1,000,000,000 are rejected as invalid, so that they explain no outliers. 5,000 is the
 // largest valid slowness, and must not make the slowness of other runners look expected.
 TEST_F(SlowRunnerTest, FalseSlownessReportsDoNotHideOutliers) {
-  EXPECT_FALSE(is_true_slowness(0));
-  EXPECT_FALSE(is_true_slowness(1000000000));
-  model.take(runner(1).speed(), {.runner = 1, .slowness_percent = 0}, now);
+  EXPECT_FALSE(is_valid_slowness(0));
+  EXPECT_FALSE(is_valid_slowness(1000000000));
+  model.apply_report(runner(1).speed(), {.runner = 1, .slowness_percent = 0}, now);
   for (int i = 0; i < 3; ++i) {
-    model.take_slowness(runner(1).speed(), kMostSlownessPercent, now - milliseconds(i), true);
+    model.apply_slowness_report(runner(1).speed(), kMaxSlownessPercent, now - milliseconds(i),
+                                true);
   }
   advance_with_normal_responses();
   for (int i = 0; i < 4; ++i) feed_responses(0, 1, 40);
--- a/tests/routing/speed_replay.cc
+++ b/tests/routing/speed_replay.cc
@@ -168,7 +168,7 @@
       if (update.speed.runner == 0 || scenario_.drops_peer_reports) continue;
       SpeedReport report = update.speed;
       report.slowness_age_ms += static_cast<std::uint16_t>((now_ - update.when).count() / 1000);
-      node.model.take(runner.speed(), report, now_);
+      node.model.apply_report(runner.speed(), report, now_);
     }
   }
 
@@ -181,9 +181,9 @@
     request.load_limit = online ? 1.0 : kBatchLoadLimit;
     request.work = work.kind;
     request.speeds = predicts_ ? &nodes_[work.node]->model : nullptr;
-    request.needs = {.route = online ? 1U : 2U,
-                     .first_event_due = work.arrival + kFirstEventObjective,
-                     .event_gap_objective = scenario_.online_gap_objective};
+    request.latency_objectives = {.route = online ? 1U : 2U,
+                                  .first_event_due = work.arrival + kFirstEventObjective,
+                                  .event_gap_objective = scenario_.online_gap_objective};
     return request;
   }
 
@@ -253,12 +253,12 @@
     SimulatedNode& node = *nodes_[work->node];
     Runner& runner = *work->choice.runner;
     const SimulatedRunner& simulated = runners_[work->runner];
-    runner.prompt_read(kPromptTokens);
-    runner.take_report({.running = simulated.running,
-                        .waiting = static_cast<std::uint32_t>(simulated.queue.size()),
-                        .slots = kSlots},
-                       now_);
-    node.model.take_slowness(runner.speed(), reported(work->runner), now_, true);
+    runner.record_prompt_processed(kPromptTokens);
+    runner.apply_load_report({.running = simulated.running,
+                              .waiting = static_cast<std::uint32_t>(simulated.queue.size()),
+                              .slots = kSlots},
+                             now_);
+    node.model.apply_slowness_report(runner.speed(), reported(work->runner), now_, true);
     const std::uint64_t route = work->kind == WorkClass::kOnline ? 1 : 2;
     node.model.observe_first_event(route, runner.speed(), work->choice.runner_work(),
                                    now_ - work->sent, now_);
--- a/tests/routing/speed_replay_test.cc
+++ b/tests/routing/speed_replay_test.cc
@@ -67,7 +67,7 @@
 }
 
 TEST(SpeedReplayTest, PredictionHalvesLateRequestsDespiteFalseReports) {
-  for (const std::uint32_t percent : {kLeastSlownessPercent, kMostSlownessPercent}) {
+  for (const std::uint32_t percent : {kMinSlownessPercent, kMaxSlownessPercent}) {
     const SpeedReplayScenario scenario{
         .nodes = 89, .online_slots = 2.8, .batch_slots = 1, .false_slowness_percent = percent};
     EXPECT_LE(late_percent(scenario, true, 1), 0.5 * late_percent(scenario, false, 1)) << percent;
--- a/tests/store/coalesced_read_test.cc
+++ b/tests/store/coalesced_read_test.cc
@@ -31,7 +31,7 @@
   }
 
   asio::io_context loop;
-  SharedRead shared;
+  CoalescedRead shared;
   int iterations_per_read = 20;
   int reads = 0;
   std::vector<std::pair<LogStatus, int>> results;
--- a/tests/store/list_read_simulation.h
+++ b/tests/store/list_read_simulation.h
@@ -41,8 +41,9 @@
 
 /// Strategy that determines the size of a node's reads.
 struct ListReadPolicy {
-  std::function<ReadBounds()> first;
-  std::function<void(ReadBounds&, std::uint64_t bytes, Duration duration, bool more)> on_response;
+  std::function<AdaptiveReadLimits()> first;
+  std::function<void(AdaptiveReadLimits&, std::uint64_t bytes, Duration duration, bool more)>
+      on_response;
 };
 
 /// Simulates one simultaneous start. Deterministic: the same setup always gives the same result.
@@ -71,7 +72,7 @@
   static constexpr double kStep = 0.005;
 
   struct Node {
-    ReadBounds bounds;
+    AdaptiveReadLimits bounds;
     double next_read_at = 0;
     std::uint64_t received_bytes = 0;
     std::uint64_t requested_bytes = 0;
@@ -143,7 +144,7 @@
   void abandon_read(Node& node) {
     if (node.reachable) abandoned_reads_.push_back(*node.remaining_bytes);
     node.remaining_bytes.reset();
-    node.bounds.ask_for_less();
+    node.bounds.decrease();
     // Same computation as `Backoff::next_after_attempt`.
     const double wait = node.next_backoff * (0.5 + random_fraction() / 2);
     node.next_read_at = now_ + std::max(wait - setup_.read_timeout, std::min(wait, 0.1) / 2);
@@ -162,18 +163,18 @@
 
 /// Reads of 1 MB, halved after each timeout.
 inline ListReadPolicy fixed_size_reads() {
-  return {[] { return ReadBounds(); },
-          [](ReadBounds& bounds, std::uint64_t, Duration, bool) { bounds.ask_for_more(); }};
+  return {[] { return AdaptiveReadLimits(); },
+          [](AdaptiveReadLimits& bounds, std::uint64_t, Duration, bool) { bounds.increase(); }};
 }
 
 /// Reads sized by the throughput of earlier ones, as in `PartitionReplica`.
 inline ListReadPolicy adaptive_reads() {
-  return {ReadBounds::for_full_read,
-          [](ReadBounds& bounds, std::uint64_t bytes, Duration duration, bool more) {
+  return {AdaptiveReadLimits::for_full_read,
+          [](AdaptiveReadLimits& bounds, std::uint64_t bytes, Duration duration, bool more) {
             if (more) {
               bounds.on_partial_read(bytes, duration);
             } else {
-              bounds.ask_for_more();
+              bounds.increase();
             }
           }};
 }
--- a/tests/store/list_read_simulation_test.cc
+++ b/tests/store/list_read_simulation_test.cc
@@ -86,19 +86,19 @@
 }
 
 TEST(FullReadLimitsTest, SlowReadReducesNextSize) {
-  ReadBounds bounds = ReadBounds::for_full_read();
-  bounds.on_partial_read(64UL * 1024, ReadBounds::kTargetReadTime * 2);
+  AdaptiveReadLimits bounds = AdaptiveReadLimits::for_full_read();
+  bounds.on_partial_read(64UL * 1024, AdaptiveReadLimits::kTargetReadTime * 2);
   EXPECT_EQ(bounds.bytes, 32UL * 1024);
   bounds.on_partial_read(32UL * 1024, std::chrono::seconds(60));
-  EXPECT_EQ(bounds.bytes, ReadBounds::kMinFullReadBytes);
+  EXPECT_EQ(bounds.bytes, AdaptiveReadLimits::kMinFullReadBytes);
 }
 
 TEST(FullReadLimitsTest, HandlesZeroDurationAndEmptyResponse) {
-  ReadBounds bounds = ReadBounds::for_full_read();
+  AdaptiveReadLimits bounds = AdaptiveReadLimits::for_full_read();
   bounds.on_partial_read(64UL * 1024, Duration{0});
   EXPECT_EQ(bounds.bytes, 256UL * 1024);
   bounds.on_partial_read(0, Duration{0});
-  EXPECT_EQ(bounds.bytes, ReadBounds::kMinFullReadBytes);
+  EXPECT_EQ(bounds.bytes, AdaptiveReadLimits::kMinFullReadBytes);
 }
 
 }  // namespace
--- a/tests/store/read_semaphore_test.cc
+++ b/tests/store/read_semaphore_test.cc
@@ -18,7 +18,7 @@
  protected:
   /// Acquires a permit and releases it after a few iterations of the event loop.
   asio::awaitable<void> hold_permit(int number) {
-    const ReadTurns::Turn permit = co_await semaphore.take();
+    const ReadSemaphore::Permit permit = co_await semaphore.acquire();
     order.push_back(number);
     max_holding = std::max(max_holding, ++holding);
     for (int i = 0; i < 3; ++i) co_await asio::post(loop, asio::use_awaitable);
@@ -26,7 +26,7 @@
   }
 
   asio::io_context loop;
-  ReadTurns semaphore{2};
+  ReadSemaphore semaphore{2};
   std::vector<int> order;
   int holding = 0;
   int max_holding = 0;
@@ -42,9 +42,9 @@
 }
 
 TEST_F(ReadSemaphoreTest, PermitsMayOutliveSemaphore) {
-  auto short_lived_semaphore = std::make_unique<ReadTurns>(1);
+  auto short_lived_semaphore = std::make_unique<ReadSemaphore>(1);
   const auto take = [&]() -> asio::awaitable<void> {
-    const ReadTurns::Turn permit = co_await short_lived_semaphore->take();
+    const ReadSemaphore::Permit permit = co_await short_lived_semaphore->acquire();
     for (int i = 0; i < 3; ++i) co_await asio::post(loop, asio::use_awaitable);
   };
   asio::co_spawn(loop, take(), asio::detached);
--- a/tests/store/store_traffic_test.cc
+++ b/tests/store/store_traffic_test.cc
@@ -11,7 +11,7 @@
   call.topic = topic;
   call.status = LogStatus::kOk;
   call.bytes_sent = 40;
-  call.bytes_answered = 1000;
+  call.bytes_received = 1000;
   return call;
 }
 
@@ -28,7 +28,7 @@
 TEST(StoreTrafficTest, CountsTimeoutsSeparately) {
   StoreTraffic traffic;
   StoreCall late = make_call("newest", "results");
-  late.bytes_answered = 0;
+  late.bytes_received = 0;
   late.timed_out = true;
   traffic.add(late);
   traffic.add(make_call("newest", "results"));
@@ -39,7 +39,7 @@
 TEST(StoreTrafficTest, CountsRefusedCallsSeparately) {
   StoreTraffic traffic;
   StoreCall refused = make_call("newest", "servers");
-  refused.bytes_answered = 0;
+  refused.bytes_received = 0;
   refused.status = LogStatus::kNotDone;
   traffic.add(refused);
   traffic.add(make_call("newest", "servers"));
--- a/tests/tenancy/rate_limit_simulation.h
+++ b/tests/tenancy/rate_limit_simulation.h
@@ -113,7 +113,7 @@
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       Node& node = *nodes_[i];
       const bool due = (tick + static_cast<std::int64_t>(i)) % 10 == 0;
-      if (due) node.gossip.check_silence(now);
+      if (due) node.gossip.update_silent_nodes(now);
       if (node.changed || due)
         send_report(i, (tick + static_cast<std::int64_t>(i)) % 100 == 0, now);
       node.changed = false;
@@ -126,7 +126,7 @@
  private:
   struct Node {
     Node(std::uint64_t name, std::uint64_t zone) : gossip(limits, name, zone) {}
-    TenantLimits limits;
+    TenantRateLimiter limits;
     TenantGossip gossip;
     bool changed = false;
   };
@@ -138,7 +138,7 @@
       if (to == from || network_.zone_of[to] != network_.zone_of[from]) continue;
       ++messages;
       network_.send(from, to, now, [this, from, to, report](TimePoint then) {
-        nodes_[to]->gossip.take_report(from + 1, *report, then);
+        nodes_[to]->gossip.apply_report(from + 1, *report, then);
       });
     }
   }
@@ -164,12 +164,12 @@
     const std::size_t to = there[network_.random.below(there.size())];
     ++messages;
     network_.send(from, to, now, [this, to, there, report](TimePoint then) {
-      nodes_[to]->gossip.take_zone_report(*report, then);
+      nodes_[to]->gossip.apply_zone_report(*report, then);
       for (const std::size_t next : there) {
         if (next == to) continue;
         ++messages;
         network_.send(to, next, then, [this, next, report](TimePoint last) {
-          nodes_[next]->gossip.take_zone_report(*report, last);
+          nodes_[next]->gossip.apply_zone_report(*report, last);
         });
       }
     });
--- a/tests/tenancy/tenant_gossip_test.cc
+++ b/tests/tenancy/tenant_gossip_test.cc
@@ -16,12 +16,12 @@
 struct Node {
   Node(std::uint64_t name, std::uint64_t zone, TimePoint now) : gossip(limits, name, zone) {
     limits.set_tenants(directory, now - seconds(10));
-    limits.check_silence(now);
+    limits.update_silent_nodes(now);
   }
   bool admit_one(TimePoint now) { return limits.admit(directory.tenants().front(), now).admitted; }
 
   TenantDirectory directory{{{"alder", {"key"}, {}, {1, 100}}}};
-  TenantLimits limits;
+  TenantRateLimiter limits;
   TenantGossip gossip;
 };
 
@@ -31,12 +31,12 @@
   Node second(2, 10, now);
   Node remote(3, 20, now);
   // All nodes know each other before the first request arrives.
-  second.gossip.take_report(1, first.gossip.make_report(false, now), now);
-  remote.gossip.take_zone_report(second.gossip.make_zone_report(now), now);
+  second.gossip.apply_report(1, first.gossip.make_report(false, now), now);
+  remote.gossip.apply_zone_report(second.gossip.make_zone_report(now), now);
   ASSERT_TRUE(first.admit_one(now));
   const double before = remote.limits.available("alder", now);
-  second.gossip.take_report(1, first.gossip.make_report(false, now), now);
-  remote.gossip.take_zone_report(second.gossip.make_zone_report(now), now);
+  second.gossip.apply_report(1, first.gossip.make_report(false, now), now);
+  remote.gossip.apply_zone_report(second.gossip.make_zone_report(now), now);
   EXPECT_NEAR(remote.limits.available("alder", now), before - 1, 0.01);
 }
 
@@ -55,7 +55,7 @@
 TEST(TenantGossipTest, ReportsOnlyRecentlyHeardNodesAsAlive) {
   TimePoint now{seconds(100)};
   Node node(1, 10, now);
-  node.gossip.take_report(2, {}, now);
+  node.gossip.apply_report(2, {}, now);
   EXPECT_EQ(node.gossip.make_zone_report(now).nodes.size(), 2U);
   EXPECT_EQ(node.gossip.make_zone_report(now + milliseconds(400)).nodes.size(), 1U);
 }
@@ -69,8 +69,8 @@
   ZoneTenantUsage report;
   report.zone = 20;
   report.nodes = {3};
-  report.uses = {{1, {kTenant, 1}}};
-  node.gossip.take_zone_report(report, now);
+  report.usages = {{1, {kTenant, 1}}};
+  node.gossip.apply_zone_report(report, now);
   EXPECT_NEAR(node.limits.available("alder", now), before, 0.01);
 }
 
@@ -79,15 +79,15 @@
   Node leaving(1, 10, now);
   Node neighbour(2, 10, now);
   Node remote(3, 20, now);
-  neighbour.gossip.take_report(1, {}, now);
-  remote.gossip.take_zone_report(neighbour.gossip.make_zone_report(now), now);
+  neighbour.gossip.apply_report(1, {}, now);
+  remote.gossip.apply_zone_report(neighbour.gossip.make_zone_report(now), now);
   leaving.gossip.leave();
-  EXPECT_TRUE(neighbour.gossip.take_leave(1, leaving.gossip.make_report(true, now), now));
-  remote.gossip.take_zone_report(neighbour.gossip.make_zone_report(now), now);
+  EXPECT_TRUE(neighbour.gossip.apply_leave(1, leaving.gossip.make_report(true, now), now));
+  remote.gossip.apply_zone_report(neighbour.gossip.make_zone_report(now), now);
   now += seconds(1);
-  neighbour.gossip.check_silence(now);
-  remote.gossip.take_report(4, {}, now);
-  remote.gossip.check_silence(now);
+  neighbour.gossip.update_silent_nodes(now);
+  remote.gossip.apply_report(4, {}, now);
+  remote.gossip.update_silent_nodes(now);
   EXPECT_EQ(neighbour.limits.silent_nodes(), 0U);
   EXPECT_EQ(remote.limits.silent_nodes(), 1U);  // The neighbour, silent since.
 }
@@ -96,13 +96,13 @@
   TimePoint now{seconds(100)};
   Node leaving(1, 10, now);
   Node neighbour(2, 10, now);
-  neighbour.gossip.take_report(1, {}, now);
-  neighbour.gossip.take_report(4, {}, now);
+  neighbour.gossip.apply_report(1, {}, now);
+  neighbour.gossip.apply_report(4, {}, now);
   const double before = neighbour.limits.available("alder", now);
   ASSERT_TRUE(leaving.admit_one(now));
   const auto last = leaving.gossip.make_report(true, now);
-  neighbour.gossip.take_leave(1, last, now);
-  neighbour.gossip.take_leave(1, last, now);
+  neighbour.gossip.apply_leave(1, last, now);
+  neighbour.gossip.apply_leave(1, last, now);
   EXPECT_NEAR(neighbour.limits.available("alder", now), before - 1, 0.01);
 }
 
@@ -112,7 +112,7 @@
   leaving.gossip.leave();
   const ZoneTenantUsage report = leaving.gossip.make_zone_report(now);
   EXPECT_TRUE(report.nodes.empty());
-  EXPECT_EQ(report.left, (std::vector<std::uint64_t>{1}));
+  EXPECT_EQ(report.departed, (std::vector<std::uint64_t>{1}));
 }
 
 }  // namespace
--- a/tests/tenancy/tenant_rate_limiter_test.cc
+++ b/tests/tenancy/tenant_rate_limiter_test.cc
@@ -26,8 +26,8 @@
     const TimePoint end = now + time;
     while (now < end) {
       now += milliseconds(50);
-      if (peer_heard) limits.node_heard(kPeer, now);
-      limits.check_silence(now);
+      if (peer_heard) limits.on_node_heard(kPeer, now);
+      limits.update_silent_nodes(now);
     }
   }
   AdmissionDecision admit_one() { return limits.admit(directory.tenants().front(), now); }
@@ -42,7 +42,7 @@
 
   TimePoint now{seconds(100)};
   TenantDirectory directory;
-  TenantLimits limits;
+  TenantRateLimiter limits;
 };
 
 TEST_F(TenantRateLimiterTest, AdmitsRateAndBurstAndNoMore) {
@@ -85,7 +85,7 @@
 TEST_F(TenantRateLimiterTest, IgnoresEarlierAdmissionsOfAnUnknownNode) {
   pass(seconds(10), false);
   limits.apply_usage(99, {stable_hash("alder"), 1000}, now);
-  limits.node_heard(99, now);
+  limits.on_node_heard(99, now);
   EXPECT_GT(limits.available("alder", now), -1);
   limits.apply_usage(99, {stable_hash("alder"), 1003}, now);
   EXPECT_LT(limits.available("alder", now), 0);
@@ -103,7 +103,7 @@
 TEST_F(TenantRateLimiterTest, RefundsRequestsThatNeverRan) {
   pass(seconds(10));
   EXPECT_EQ(count_admitted(20), 5);
-  limits.give_back("alder", now);
+  limits.refund("alder", now);
   EXPECT_EQ(count_admitted(20), 1);
 }
 
@@ -135,15 +135,15 @@
     peer_total += 1;
     report_peer_admitted(peer_total);
     count_admitted(1);
-    limits.node_heard(8, now);
+    limits.on_node_heard(8, now);
     pass(seconds(1));
   }
   const auto advance_with_other_node = [&](Duration time) {
     const TimePoint end = now + time;
     while (now < end) {
       now += milliseconds(50);
-      limits.node_heard(8, now);
-      limits.check_silence(now);
+      limits.on_node_heard(8, now);
+      limits.update_silent_nodes(now);
     }
   };
   advance_with_other_node(seconds(1));
@@ -159,17 +159,17 @@
 }
 
 TEST_F(TenantRateLimiterTest, AssumedAdmissionsOfASilentNodeAreNotCountedTwice) {
-  limits.node_heard(kPeer, now);
-  limits.node_heard(8, now);
+  limits.on_node_heard(kPeer, now);
+  limits.on_node_heard(8, now);
   report_peer_admitted(10);
   for (int step = 0; step < 100; ++step) {
     now += milliseconds(50);
-    limits.node_heard(8, now);
-    limits.check_silence(now);
+    limits.on_node_heard(8, now);
+    limits.update_silent_nodes(now);
   }
   count_admitted(20);
   const double before = limits.available("alder", now);
-  limits.node_heard(kPeer, now);
+  limits.on_node_heard(kPeer, now);
   report_peer_admitted(12);
   EXPECT_NEAR(limits.available("alder", now), before, 0.5);
 }
@@ -182,7 +182,7 @@
 }
 
 TEST_F(TenantRateLimiterTest, StartingProcessAdmitsLittleBeforeItHearsFromOthers) {
-  TenantLimits fresh;
+  TenantRateLimiter fresh;
   const TenantDirectory large({{"alder", {"key"}, {}, {160, 160}}});
   fresh.set_tenants(large, now);
   int admitted = 0;
@@ -194,7 +194,7 @@
 // Reports hold few counters. Guards against always leaving out the same ones, as happened in hash
 // order.
 TEST_F(TenantRateLimiterTest, ReportsTheNewestChangesFirst) {
-  limits.node_heard(kPeer, now);
+  limits.on_node_heard(kPeer, now);
   for (std::uint64_t tenant = 1; tenant <= 100; ++tenant) {
     now += milliseconds(1);
     limits.apply_usage(kPeer, {tenant, 1}, now);
@@ -228,7 +228,7 @@
   for (int second = 0; second < 20; ++second) {
     peer_total += 5;
     report_peer_admitted(peer_total);
-    limits.node_heard(8, now);
+    limits.on_node_heard(8, now);
     count_admitted(5);
     pass(seconds(1));
   }
@@ -236,7 +236,7 @@
   count_admitted(20);
   int admitted = 0;
   for (int step = 0; step < 100; ++step) {
-    limits.node_heard(8, now);
+    limits.on_node_heard(8, now);
     pass(milliseconds(100), false);
     admitted += count_admitted(5);
   }
@@ -259,14 +259,14 @@
 
 TEST_F(TenantRateLimiterTest, ANodeWhoseLeaveMessageIsLostCountsAsSilent) {
   pass(seconds(10));
-  limits.node_heard(8, now);
+  limits.on_node_heard(8, now);
   pass(seconds(1), false);
   EXPECT_EQ(limits.silent_nodes(), 2U);
 }
 
 TEST_F(TenantRateLimiterTest, IgnoresRepeatedLeavesAndLeavesOfUnknownNodes) {
   pass(seconds(10));
-  limits.node_heard(8, now);
+  limits.on_node_heard(8, now);
   EXPECT_TRUE(limits.on_node_left(kPeer, now));
   const double available = limits.available("alder", now);
   EXPECT_FALSE(limits.on_node_left(kPeer, now));
@@ -276,11 +276,11 @@
 
 TEST_F(TenantRateLimiterTest, OlderReportsOfOtherNodesDoNotRestoreADepartedNode) {
   pass(seconds(10));
-  limits.node_heard(8, now);
+  limits.on_node_heard(8, now);
   limits.on_node_left(kPeer, now);
   limits.on_node_reported(kPeer, now);
   for (int step = 0; step < 20; ++step) {
-    limits.node_heard(8, now);
+    limits.on_node_heard(8, now);
     pass(milliseconds(100), false);
   }
   EXPECT_EQ(limits.silent_nodes(), 0U);
@@ -288,11 +288,11 @@
 
 TEST_F(TenantRateLimiterTest, RestoresADepartedNodeThatIsHeardAgain) {
   pass(seconds(10));
-  limits.node_heard(8, now);
+  limits.on_node_heard(8, now);
   limits.on_node_left(kPeer, now);
-  limits.node_heard(kPeer, now);
+  limits.on_node_heard(kPeer, now);
   for (int step = 0; step < 20; ++step) {
-    limits.node_heard(8, now);
+    limits.on_node_heard(8, now);
     pass(milliseconds(100), false);
   }
   EXPECT_EQ(limits.silent_nodes(), 1U);
