--- a/tests/soak/configuration_watch.py
+++ b/tests/soak/configuration_watch.py
@@ -1,8 +1,9 @@
-"""What nodes may say by the configuration that they have, held against what the store acknowledged.
+"""Checks the responses of nodes against the configuration versions that the store acknowledged.
 
-Each change adds a route and drops the one that the change before had added. Two promises, whatever
-fails meanwhile: no route is denied that was acknowledged well before the request was sent and has
-not been dropped since, and no process serves a route that was dropped before it began.
+Each version adds a route and removes the one that the previous version added. Two invariants hold
+under any fault: a node does not answer 404 for a route that was acknowledged well before the
+request was sent and is still configured, and a process does not serve a route that was removed
+before the process started.
 """
 
 import dataclasses
@@ -12,9 +13,9 @@
 
 from platform_fleet import HOST
 
-# Twice as old as the confirmation by which a node may deny.
+# Twice the maximum age of the store confirmation that a node needs to answer 404.
 STALE_SECONDS = 1.0
-# Routes beside those that are asked for, so that some seeds have large versions.
+# Numbers of additional unused routes, so that some seeds have large configuration versions.
 IDLE_ROUTES = [0, 0, 700]
 ASK_EVERY_SECONDS = 0.03
 
@@ -27,26 +28,29 @@
 
 @dataclasses.dataclass
 class WatchedRoute:
-    """A route and when the store took it in and dropped it; times of the monotonic clock."""
+    """A route and when it was added and removed; times are of the monotonic clock."""
 
     name: str
-    added_by: float = float("inf")  # The acknowledgement had come by then.
+    added_by: float = float("inf")  # When the store's acknowledgement was received.
     drop_begun: float = float("inf")
     dropped_by: float = float("inf")
 
 
 class ConfigurationWatch:
-    """Publishes the routes of one soak and asks for them. `ask` runs on threads of its own."""
+    """Publishes the routes of one soak and sends requests for them.
 
-    def __init__(self, seed, platform, promises):
+    `publish` is called from the main thread, `watch` and `ask` from client threads.
+    """
+
+    def __init__(self, seed, platform, checker):
         self.random = random.Random("configurations %d" % seed)
         self.platform = platform
-        self.promises = promises
+        self.checker = checker
         self.idle = [route("idle-%d" % i) for i in range(self.random.choice(IDLE_ROUTES))]
         self.routes = []
 
     def publish(self, version, configure):
-        """Calls `configure` with the routes of a version and notes its acknowledgement."""
+        """Calls `configure` with the routes of a version and records when it is acknowledged."""
         added = WatchedRoute("v%d" % version)
         if self.routes:
             self.routes[-1].drop_begun = time.monotonic()
@@ -57,34 +61,35 @@
             self.routes[-2].dropped_by = added.added_by
 
     def watch(self, seed, call, stopped):
-        """Asks until `stopped`; `call` sends a request as the soak's callers do."""
+        """Sends requests until `stopped` is set; `call` sends one as the soak's clients do."""
         plan = random.Random("watch %s" % seed)
-        turn = 0
+        sequence = 0
         while not stopped.is_set():
-            turn += 1
-            self.ask(plan, "w%sx%d" % (seed, turn), call)
+            sequence += 1
+            self.ask(plan, "w%sx%d" % (seed, sequence), call)
             time.sleep(ASK_EVERY_SECONDS)
 
     def ask(self, plan, request, call):
         asked = plan.choice(self.routes[-2:])
         node = plan.randrange(len(self.platform.nodes))
-        begun = self.platform.node_processes[node].started_at
+        process_started = self.platform.node_processes[node].started_at
         sent = time.monotonic()
         headers = {"Stoathold-Attempt-Id": request, "Stoathold-Deadline-Ms": "5000",
-                   **self.platform.keys_of(None)}
+                   **self.platform.key_headers(None)}
         try:
             status, _, _ = call(node, "POST", "/%s/1" % asked.name, b"q", headers)
         except (OSError, http.client.HTTPException):
             status = None
-        self.promises.count("configuration %s" % status)
-        self.judge(asked, node, begun, sent, status)
+        self.checker.count("configuration %s" % status)
+        self.check_response(asked, node, process_started, sent, status)
 
-    def judge(self, asked, node, begun, sent, status):
+    def check_response(self, asked, node, process_started, sent, status):
         answered = time.monotonic()
         known = sent - asked.added_by > STALE_SECONDS and answered < asked.drop_begun
         if status == 404 and known:
-            self.promises.break_one("node %d denied %s, acknowledged %.1f s before it was sent" % (
-                node, asked.name, sent - asked.added_by))
-        if status == 200 and asked.dropped_by < begun:
-            self.promises.break_one("node %d served %s, dropped %.1f s before its start" % (
-                node, asked.name, begun - asked.dropped_by))
+            self.checker.record_violation(
+                "node %d answered 404 for %s, acknowledged %.1f s before the request" % (
+                    node, asked.name, sent - asked.added_by))
+        if status == 200 and asked.dropped_by < process_started:
+            self.checker.record_violation("node %d served %s, removed %.1f s before its start" % (
+                node, asked.name, process_started - asked.dropped_by))
--- a/tests/soak/hard_load.py
+++ b/tests/soak/hard_load.py
@@ -1,8 +1,8 @@
-"""A soak of nodes with a limit of memory: tenants in floods, slow callers and slow runners, with kills.
+"""Soak test with a memory limit: tenant floods, slow clients, slow runners, kills, power losses.
 
-Faults overlap as in the soak of losses of power, which is one of them; signals come in series, also
-in the moments after a start. Callers use open connections until the process behind them is gone.
-Promised is what the other soaks promise, and that no node outgrows its limit.
+Faults overlap as in the power-loss soak, and power loss is one of them. Signals arrive in bursts,
+also right after a process starts. Clients reuse connections until the process behind them ends.
+Checks the invariants of the other soaks, and that no node exceeds its memory limit.
 """
 
 import dataclasses
@@ -20,33 +20,33 @@
 from fleet import wait_for  # noqa: E402
 
 from kept_connections import KeptConnections  # noqa: E402
-from power_loss import WAITING_ROUTE, PowerLossSoak  # noqa: E402
-from soak import CALL_TIMEOUT_SECONDS, UNSAFE_ROUTE, heeds_signals, play_seeds  # noqa: E402
+from power_loss import ROUTE_WITHOUT_RUNNERS, PowerLossSoak  # noqa: E402
+from soak import CALL_TIMEOUT_SECONDS, UNSAFE_ROUTE, blocks_or_handles_sigterm, run_seeds  # noqa: E402
 
-# Of which 16 MB are for what is held for others.
+# 16 MB of it are the budget for data that a node holds on behalf of others.
 MEMORY_MB = 64
-# An answer to a body of 60 kB has 300 kB, more than its caller's socket takes at once.
+# A request body of 60 kB yields a response of 300 kB, more than the client's socket buffers hold.
 SIZES = dataclasses.replace(LARGE_SIZES, event_bytes=60000)
 SLOW_BODY = b"s" * 60000
 SLOW_CALLERS = 40
 SLOW_CALLER_SECONDS = 4
-# Bytes a second that a slow runner reads and writes.
+# Throughput of a slow runner in each direction, in bytes per second.
 SLOW_RUNNER_BYTES = 40000
 OWN_KEY = "key-of-alder"
 FLOOD_KEYS = ["key-of-birch", "key-of-cedar", "key-of-dogwood"]
 FLOOD_CALLERS = 12
 FLOOD_SECONDS = 2.0
-# Only birch has a rate: 20 a second over all nodes.
+# Only birch has a rate limit: 20 requests per second over all nodes.
 TENANTS = [{"name": key.removeprefix("key-of-"), "api_keys": [key],
             "rate_per_s": 20 if key == FLOOD_KEYS[0] else 0, "burst": 40}
            for key in [OWN_KEY] + FLOOD_KEYS]
 
 
 class HardLoadSoak(PowerLossSoak):
-    """One run of a seed."""
+    """One soak run for one seed."""
 
     sizes = SIZES
-    most_jobs = 12
+    max_jobs = 12
     memory_mb = MEMORY_MB
 
     def __init__(self, *arguments):
@@ -66,7 +66,7 @@
         self.configuration_watch.publish(
             self.version,
             lambda routes: self.platform.configure(
-                self.version, [UNSAFE_ROUTE, WAITING_ROUTE] + routes, tenants=TENANTS,
+                self.version, [UNSAFE_ROUTE, ROUTE_WITHOUT_RUNNERS] + routes, tenants=TENANTS,
                 extra_services=["absent"]))
 
     # Load.
@@ -77,8 +77,8 @@
         self.background.append(thread)
 
     def fault_flood(self):
-        """Several tenants ask as fast as they are answered, each call at another node."""
-        self.note("flood")
+        """Several tenants send requests in a closed loop, rotating over the nodes."""
+        self.log("flood")
         end = time.monotonic() + FLOOD_SECONDS
         for number in range(FLOOD_CALLERS):
             self.start_thread(self.flood, number, end)
@@ -87,28 +87,29 @@
     def flood(self, number, end):
         key = FLOOD_KEYS[number % len(FLOOD_KEYS)]
         connections = KeptConnections(CALL_TIMEOUT_SECONDS)
-        turn = 0
+        sequence = 0
         while time.monotonic() < end:
-            turn += 1
+            sequence += 1
             headers = {"Host": HOST, "Stoathold-Key": key, "Stoathold-Deadline-Ms": "5000",
-                       "Stoathold-Attempt-Id": "f%dx%dx%d" % (end * 1000, number, turn)}
+                       "Stoathold-Attempt-Id": "f%dx%dx%d" % (end * 1000, number, sequence)}
             try:
                 status, _, body = connections.call(
-                    self.platform.nodes[turn % self.node_count], "POST", "/ask/1", b"q", headers)
+                    self.platform.nodes[sequence % self.node_count], "POST", "/ask/1", b"q",
+                    headers)
             except (OSError, http.client.HTTPException):
-                self.promises.count("flood cut")
+                self.checker.count("flood cut")
                 time.sleep(0.01)
                 continue
-            self.promises.count("flood %s" % status)
+            self.checker.count("flood %s" % status)
             if status == 200 and body.decode() != stream_text("q"):
-                self.promises.break_one("flood of %s: a wrong answer" % key)
+                self.checker.record_violation("flood of %s: wrong response body" % key)
             if status == 429 and key != FLOOD_KEYS[0]:
-                self.promises.break_one("flood of %s: over a limit that it does not have" % key)
+                self.checker.record_violation("flood of %s: 429 without a rate limit" % key)
 
     def fault_slow_callers(self):
-        """Callers that take a byte a second, many at one node, some until its process is gone."""
+        """Many clients of one node read one byte per second, some until its process ends."""
         index = self.random.randrange(self.node_count)
-        self.note("slow callers at node %d" % index)
+        self.log("slow clients at node %d" % index)
         self.series += 1
         self.start_thread(self.slow_callers, index, self.series)
         return lambda: None
@@ -120,37 +121,38 @@
                 callers.append(SlowCaller(self.platform.nodes[index], series * 1000 + number,
                                           SLOW_BODY, "Stoathold-Key: %s\r\n" % OWN_KEY))
             except OSError:
-                self.promises.count("slow caller not connected")
+                self.checker.count("slow caller not connected")
         for _ in range(SLOW_CALLER_SECONDS):
             for caller in callers:
                 if caller.open:
-                    caller.go_on()
+                    caller.advance()
             time.sleep(1.0)
         self.check_memory(index)
         for caller in callers:
-            self.promises.count("slow caller %s" % (caller.text[:1].decode() or "unanswered"))
+            self.checker.count("slow caller %s" % (caller.text[:1].decode() or "unanswered"))
             if not b"HTTP/1.1 ".startswith(caller.text[:9]):
-                self.promises.break_one("slow caller: no answer: %r" % caller.text)
+                self.checker.record_violation("slow client: not an HTTP response: %r" % caller.text)
             caller.close()
 
     def check_memory(self, index):
-        """The most that a node's process has held resident so far."""
+        """Checks the peak resident memory of a node's process."""
         try:
             pid = self.platform.node_processes[index].handle.pid
-            told = pathlib.Path("/proc/%d/status" % pid).read_text()
+            process_status = pathlib.Path("/proc/%d/status" % pid).read_text()
         except OSError:
             return
-        peak = re.search(r"VmHWM:\s+(\d+) kB", told)
+        peak = re.search(r"VmHWM:\s+(\d+) kB", process_status)
         if peak is None:
             return
-        self.promises.count("looks at memory")
+        self.checker.count("looks at memory")
         if int(peak.group(1)) > MEMORY_MB * 1024:
-            self.promises.break_one("node %d: %s kB resident" % (index, peak.group(1)))
+            self.checker.record_violation("node %d: peak of %s kB resident exceeds the limit" % (
+                index, peak.group(1)))
 
     def fault_slow_runner(self):
-        """A runner that reads and writes slowly, while large bodies are sent to all."""
+        """Bounds the throughput of one runner while large request bodies are sent."""
         name = self.random.choice(sorted(self.runner_links))
-        self.note("runner %s reads slowly" % name)
+        self.log("runner %s: throughput limited" % name)
         link = self.runner_links[name]
         link.bound(SLOW_RUNNER_BYTES)
         for number in range(4):
@@ -160,32 +162,33 @@
     def ask_large(self, node, number):
         request = "large%dx%f" % (number, time.monotonic())
         headers = {"Stoathold-Attempt-Id": request, "Stoathold-Deadline-Ms": "10000"}
-        status, body, whole = self.call(node, "POST", "/ask/1", SLOW_BODY, headers)
-        self.promises.count("large %s" % (status if whole else "cut"))
-        if whole and status == 200 and body.decode() != stream_text(SLOW_BODY.decode()):
-            self.promises.break_one("%s: a wrong answer" % request)
-        if whole and status in (413, 503) and not is_clear_refusal(status, body):
-            self.promises.break_one("%s: %s without a reason" % (request, status))
+        status, body, complete = self.call(node, "POST", "/ask/1", SLOW_BODY, headers)
+        self.checker.count("large %s" % (status if complete else "cut"))
+        if complete and status == 200 and body.decode() != stream_text(SLOW_BODY.decode()):
+            self.checker.record_violation("%s: wrong response body" % request)
+        if complete and status in (413, 503) and not is_clear_refusal(status, body):
+            self.checker.record_violation("%s: status %s without an error body" % (request, status))
 
     # Signals.
 
     def fault_signals(self):
-        """Signals in series, from the first moment of a process on; at times up to its end."""
+        """Sends a burst of signals to a node, also right after its start or during its shutdown."""
         index = self.random.randrange(self.node_count)
         process = self.platform.node_processes[index]
         if index in self.busy_nodes or process.handle.poll() is not None:
             return lambda: None
-        wait_for(lambda: heeds_signals(process), "node %d to hold signals" % index)
+        wait_for(lambda: blocks_or_handles_sigterm(process),
+                 "node %d to block or handle signals" % index)
         series = [self.random.choice([signal.SIGHUP, signal.SIGHUP, signal.SIGSTOP])
                   for _ in range(self.random.randrange(1, 5))]
         stops = self.random.random() < 0.4
-        self.note("node %d: signals %s%s" % (index, [each.name for each in series],
-                                             ", then a planned stop" if stops else ""))
+        self.log("node %d: signals %s%s" % (index, [each.name for each in series],
+                                             ", then a graceful shutdown" if stops else ""))
         for each in series:
             process.handle.send_signal(each)
             if each == signal.SIGSTOP:
-                # One that wakes may go on with a request that it had read.
-                self.ends_excused += 1
+                # A node that resumes may continue a request that it read before it was suspended.
+                self.allowed_extra_crashes += 1
                 time.sleep(0.05)
                 process.handle.send_signal(signal.SIGCONT)
         if not stops:
@@ -194,22 +197,22 @@
         heal = self.stop_node(index, process)
         process.handle.send_signal(signal.SIGHUP)
 
-        def heal_and_note():
+        def heal_and_release():
             heal()
             self.busy_nodes.discard(index)
 
-        return heal_and_note
+        return heal_and_release
 
-    def other_faults(self):
+    def extra_faults(self):
         return [self.fault_flood, self.fault_slow_callers, self.fault_slow_runner]
 
-    def settle(self):
+    def wait_and_verify(self):
         for thread in self.background:
             thread.join(60)
         for index in range(self.node_count):
             self.check_memory(index)
-        super().settle()
+        super().wait_and_verify()
 
 
 if __name__ == "__main__":
-    play_seeds(HardLoadSoak, "hard_load_seeds.txt", __doc__)
+    run_seeds(HardLoadSoak, "hard_load_seeds.txt", __doc__)
--- a/tests/soak/kept_connections.py
+++ b/tests/soak/kept_connections.py
@@ -1,21 +1,21 @@
-"""A client's connections that stay open until the process behind them is gone."""
+"""Client connections that are kept open until the process behind them ends."""
 
 import http.client
 import time
 
-# Shorter than the nodes keep an idle connection.
+# Shorter than the idle timeout of the nodes.
 REUSE_SECONDS = 12.0
 
 
 class KeptConnections:
-    """One connection for each address; for one thread."""
+    """Keeps one connection for each address. Not thread safe."""
 
     def __init__(self, timeout_seconds):
         self.timeout_seconds = timeout_seconds
         self.connections = {}
 
     def call(self, address, method, target, body, headers):
-        """Sends one request; returns (status, headers, body bytes). Closes what failed."""
+        """Sends one request; returns (status, headers, body bytes). Closes a failed connection."""
         connection = self.connection_to(address)
         try:
             connection.request(method, target, body, headers)
--- a/tests/soak/link_proxy.py
+++ b/tests/soak/link_proxy.py
@@ -1,18 +1,18 @@
-"""TCP proxies on loopback that can be delayed, bounded, reset, cut one way or silenced."""
+"""TCP proxies on loopback that can delay, rate-limit, reset or black-hole their traffic."""
 
 import asyncio
 import threading
 
 COPY_BYTES = 65536
-# A bounded direction takes turns between its connections this often.
+# Copy size of a rate-limited direction: its connections share the rate in units of this size.
 BOUNDED_COPY_BYTES = 8192
-LOOK_SECONDS = 0.02
+POLL_SECONDS = 0.02
 
 
 class Direction:
-    """One direction of a link: all its connections share the rate, and `bytes` counts them all.
+    """One direction of a link; its connections share the rate limit and the `bytes` counter.
 
-    A cut direction swallows bytes: the peer sees silence, as behind a broken route.
+    A cut direction drops all bytes: the peer sees silence, as behind a broken network route.
     """
 
     def __init__(self):
@@ -25,7 +25,7 @@
         return BOUNDED_COPY_BYTES if self.bytes_per_second else COPY_BYTES
 
     async def carry(self, count):
-        """Waits until `count` more bytes have gone over the link."""
+        """Counts `count` bytes and waits until the rate limit lets them pass."""
         self.bytes += count
         if not self.bytes_per_second:
             return
@@ -35,9 +35,9 @@
 
 
 class Link:
-    """One proxy. Faults are set from any thread; the event loop's thread does all the rest.
+    """One proxy. Faults may be set from any thread; the rest runs on the event loop's thread.
 
-    A silenced link swallows both ways and lets new connections hang.
+    A silenced link drops bytes in both directions and leaves new connections hanging.
     """
 
     def __init__(self, target):
@@ -50,12 +50,12 @@
         self.writers = set()
 
     def bound(self, bytes_per_second):
-        """Bounds the rate of each direction; None: no bound."""
+        """Limits the rate of each direction; None removes the limit."""
         self.forward.bytes_per_second = bytes_per_second
         self.back.bytes_per_second = bytes_per_second
 
     def heal(self):
-        """Ends all faults; a bound on the rate is none."""
+        """Clears all faults; a rate limit is not a fault and stays."""
         self.delay_seconds = 0.0
         self.forward.cut = False
         self.back.cut = False
@@ -66,7 +66,7 @@
 
     async def serve(self, near_reader, near_writer):
         while self.forward.cut and self.back.cut:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
         try:
             far_reader, far_writer = await asyncio.open_connection(*self.target)
         except OSError:
@@ -88,9 +88,9 @@
                 if self.delay_seconds:
                     await asyncio.sleep(self.delay_seconds)
                 if direction.cut:
-                    # What a cut swallows is gone: the stream cannot go on after it heals.
+                    # Dropped bytes are lost, so the stream cannot continue after the cut heals.
                     while direction.cut:
-                        await asyncio.sleep(LOOK_SECONDS)
+                        await asyncio.sleep(POLL_SECONDS)
                     writer.transport.abort()
                     return
                 if not data:
@@ -98,7 +98,7 @@
                         writer.write_eof()
                     return
                 if writer.is_closing():
-                    # Nobody is left to read it, so nothing more is sent.
+                    # The receiver has gone, so nothing more is sent.
                     return
                 await direction.carry(len(data))
                 writer.write(data)
@@ -112,14 +112,14 @@
 
 
 class LinkLoop:
-    """The event loop of all links, in a thread of its own that ends with the process."""
+    """Runs the event loop of all links on a daemon thread."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
         threading.Thread(target=self.loop.run_forever, daemon=True).start()
 
     def open(self, target):
-        """Starts a proxy before `ip:port` and returns it."""
+        """Starts a proxy in front of `ip:port` and returns it."""
         link = Link(target)
 
         async def listen():
--- a/tests/soak/outage_power_loss.py
+++ b/tests/soak/outage_power_loss.py
@@ -1,33 +1,33 @@
-"""A soak in which all machines lose power twice in a row at the end, while the store fails them.
+"""Soak test that ends with two power losses in a row during an outage of the store.
 
-Everything else is as in the soak of losses of power, but for links of 5 Mbit/s. So nodes begin
-while the store refuses, hangs or is slow, and are lost again before they have read anything or in
-the midst of it. The same is promised: each accepted item is listed in the end.
+It equals the power-loss soak but for links of 5 Mbit/s. Nodes start while the store rejects calls,
+hangs or is slow, and are killed again before or while they read their state. The invariant is the
+same: each accepted item is listed in the end.
 """
 
 import time
 
 from power_loss import PowerLossSoak
-from soak import play_seeds
+from soak import run_seeds
 
-# 5 Mbit/s, of each node to the store.
+# 5 Mbit/s from each node to the store.
 SLOW_LINK_BYTES_PER_SECOND = 5e6 / 8
-# Fewer jobs than with wider links: those are to be given up only if nothing works on them.
-MOST_JOBS = 20
+# Fewer jobs than with faster links, so that a job times out only if it makes no progress.
+MAX_JOBS = 20
 OUTAGES = {"busy": {"outage": "busy"}, "silent": {"outage": "silent"}, "slow": {"delay_ms": 200}}
 
 
 class OutagePowerLossSoak(PowerLossSoak):
-    """One run of a seed."""
+    """One soak run for one seed."""
 
     link_bytes_per_second = SLOW_LINK_BYTES_PER_SECOND
-    most_jobs = MOST_JOBS
+    max_jobs = MAX_JOBS
 
-    def end_with_a_loss(self):
-        """The store fails before the first loss, and serves again some time after the second."""
-        self.end_calm()
+    def inject_final_power_loss(self):
+        """Loses power twice during a store outage that ends some time after the second loss."""
+        self.heal_all_faults()
         kind = self.random.choice(sorted(OUTAGES))
-        self.note("to the end the store is %s" % kind)
+        self.log("store outage over the final power losses: %s" % kind)
         self.platform.faults(self.platform.store, **OUTAGES[kind])
         time.sleep(self.random.choice([0.0, 0.5, 2.0]))
         self.lose_power()
@@ -38,4 +38,4 @@
 
 
 if __name__ == "__main__":
-    play_seeds(OutagePowerLossSoak, "outage_power_loss_seeds.txt", __doc__)
+    run_seeds(OutagePowerLossSoak, "outage_power_loss_seeds.txt", __doc__)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,7 +1,8 @@
-"""A randomized soak: real processes on loopback, faults from outside them, promises checked.
+"""Randomized fault-injection soak test with real processes on loopback and invariant checks.
 
-A seed fixes the plan of faults and of the callers' requests; how they meet is up to the machine. So
-a run that breaks a promise keeps its logs, and its seed goes into seeds.txt as a regression case.
+A seed determines the sequence of faults and of client requests, but not their interleaving, which
+depends on the machine. A run that violates an invariant therefore keeps its logs, and its seed is
+added to seeds.txt as a regression case.
 """
 
 import argparse
@@ -20,81 +21,84 @@
 
 from configuration_watch import ConfigurationWatch  # noqa: E402
 from link_proxy import LinkLoop  # noqa: E402
-from promises import Promises  # noqa: E402
+from promises import InvariantChecker  # noqa: E402
 
-# Of each seed unless told otherwise; CI plays these.
+# Defaults for every seed; CI runs with these.
 NODES = 3
 RUNNERS = 3
-# Runners of uneven speed: time of their work in 100ths, and how their machines change.
+# Service time of each runner as a percentage of the nominal time, for seeds with uneven runners.
 RUNNER_TIMES = [60, 100, 160]
+# How often the simulated machine speed of each runner changes, and how often it is then slow.
 SLOWNESS_SECONDS = 0.6
-SLOW_PART = 0.15
+SLOW_PROBABILITY = 0.15
 CALLERS = 4
-# Callers that ask for routes which come and go.
+# Clients that request routes while configuration changes add and remove them.
 WATCHERS = 2
 SETTLE_SECONDS = 60.0
 CALL_TIMEOUT_SECONDS = 20.0
 UNSAFE_ROUTE = {"name": "once", "host": HOST, "path_prefix": "/once/", "kind": "unsafe",
                 "timeout_ms": 20000, "target_latency_ms": 5000, "service": "chat",
                 "max_attempts": 3}
-# Ends each runner that begins to run it.
-DEADLY = "deadly"
+# Request body that crashes every runner that starts to execute it.
+CRASH_BODY = "deadly"
 
 
-def heeds_signals(process):
-    """Whether a process has come so far that it holds or handles SIGTERM."""
+def blocks_or_handles_sigterm(process):
+    """Returns whether a process already blocks or handles SIGTERM."""
     status = pathlib.Path("/proc/%d/status" % process.handle.pid).read_text()
     masks = [line.split()[1] for line in status.splitlines() if line[:7] in ("SigBlk:", "SigCgt:")]
     return any(int(mask, 16) & (1 << (signal.SIGTERM - 1)) for mask in masks)
 
 
 class Soak:
-    """One run of a seed."""
+    """One soak run for one seed."""
 
     sizes = SMALL_SIZES
-    memory_mb = None  # Limit of each node.
+    memory_mb = None  # Memory limit of each node.
 
     def __init__(self, seed, steps, directory, nodes=NODES, runners=RUNNERS):
         self.node_count = nodes
         self.seed = seed
         self.steps = steps
         self.random = random.Random(seed)
-        self.start_random = random.Random("starts %d" % seed)  # Leaves the plan of a seed as it is.
-        self.speed_random = random.Random("speeds %d" % seed)  # The same.
+        # Generators of their own leave the fault sequence of a seed unchanged.
+        self.start_random = random.Random("starts %d" % seed)
+        self.speed_random = random.Random("speeds %d" % seed)
         self.links = LinkLoop()
         self.store_links = []
         self.runner_links = {}
-        self.promises = Promises(self.sizes)
+        self.checker = InvariantChecker(self.sizes)
         self.platform = Platform(
-            directory, nodes, runners, self.make_link, DEADLY, self.sizes,
+            directory, nodes, runners, self.make_link, CRASH_BODY, self.sizes,
             self.runner_speeds(runners), self.memory_mb)
-        self.configuration_watch = ConfigurationWatch(seed, self.platform, self.promises)
+        self.configuration_watch = ConfigurationWatch(seed, self.platform, self.checker)
         self.directory = directory
-        self.known_runs = {}
+        self.observed_runs = {}
         self.items_may_fail = False
         self.version = 1
         self.stopped = threading.Event()
-        self.judged = threading.Event()
+        self.checks_done = threading.Event()
         self.runners_lock = threading.Lock()
         self.local = threading.local()
-        self.ends_excused = 0
+        self.allowed_extra_crashes = 0
 
     def runner_speeds(self, runners):
-        """In half of the seeds runners differ in speed and say how slow their machines are."""
+        """Returns runner options; in half of the seeds runners differ in speed and report it."""
         if self.speed_random.random() < 0.5:
             return {}
-        self.note("runners of uneven speed")
+        self.log("runners of uneven speed")
         return {"r%d" % index: ["--reports-slowness", "--time-percent", RUNNER_TIMES[index % 3]]
                 for index in range(runners)}
 
     def vary_slowness(self):
-        """Machines of runners turn slow and back; now and then one of them says what is false."""
+        """Slows runners down and restores them at random; some reports are false."""
         while not self.stopped.wait(SLOWNESS_SECONDS):
             for address in self.platform.runners.values():
-                slow = self.speed_random.random() < SLOW_PART
-                lie = self.speed_random.choice(["0", "slow"]) if self.speed_random.random() < 0.1 else ""
+                slow = self.speed_random.random() < SLOW_PROBABILITY
+                false_report = self.speed_random.choice(
+                    ["0", "slow"]) if self.speed_random.random() < 0.1 else ""
                 self.set_runner_faults(address, slowness_percent=250 if slow else 100,
-                                       false_slowness=lie)
+                                       false_slowness=false_report)
 
     def make_link(self, kind, name, address):
         link = self.links.open(address)
@@ -104,10 +108,10 @@
             self.runner_links[name] = link
         return link.address
 
-    # Callers.
+    # Clients.
 
     def call(self, node, method, target, body, headers):
-        """Returns (status, body, whole); status None if no answer began."""
+        """Returns (status, body, complete); the status is None if no response started."""
         try:
             status, _, content = self.exchange(self.platform.nodes[node], method, target, body,
                                                dict(headers, Host=HOST))
@@ -118,43 +122,43 @@
             return None, b"", False
 
     def exchange(self, address, method, target, body, headers):
-        """One call on a connection of its own."""
+        """Sends one request on a new connection."""
         return call(address, method, target, body, headers, CALL_TIMEOUT_SECONDS)
 
     def stream(self, node, request):
         headers = {"Stoathold-Attempt-Id": request, "Stoathold-Deadline-Ms": "15000"}
-        self.promises.stream_answered(
+        self.checker.check_stream_response(
             request, *self.call(node, "POST", "/ask/1", b"q", headers))
 
-    def deadly(self, node, request):
-        """The one request that ends its runners, under another id each time."""
+    def send_crashing_request(self, node, request):
+        """Sends the request that crashes runners, with a new id each time."""
         headers = {"Stoathold-Attempt-Id": request, "Stoathold-Deadline-Ms": "15000"}
-        self.promises.deadly_answered(
-            *self.call(node, "POST", "/ask/1", DEADLY.encode(), headers))
+        self.checker.check_crashing_response(
+            *self.call(node, "POST", "/ask/1", CRASH_BODY.encode(), headers))
 
     def unsafe(self, node, request):
         headers = {"Stoathold-Attempt-Id": request, "Stoathold-Deadline-Ms": "15000"}
-        status, body, whole = self.call(node, "POST", "/once/1", b"q", headers)
-        self.promises.unsafe_answered(request, status if whole else None, body)
+        status, body, complete = self.call(node, "POST", "/once/1", b"q", headers)
+        self.checker.check_unsafe_response(request, status if complete else None, body)
 
     @staticmethod
     def item_count(job):
         return 1 + len(job) % 4
 
     def submit(self, nodes, job):
-        """Sends a job again, to other nodes, until it is taken or the nodes are used up."""
+        """Submits a job to one node after another until one accepts it or none is left."""
         count = self.item_count(job)
         for node in nodes:
             try:
                 status = self.platform.submit(node, job, count)
             except (OSError, http.client.HTTPException):
                 status = None
-            self.promises.count("submission %s" % status)
+            self.checker.count("submission %s" % status)
             if status == 202:
-                self.promises.job_accepted(job, count)
+                self.checker.record_accepted_job(job, count)
                 return
             if status not in (None, 429, 500, 502, 503, 504):
-                self.promises.break_one("job %s: answered %s" % (job, status))
+                self.checker.record_violation("job %s: unexpected status %s" % (job, status))
                 return
 
     def read(self, node, job, after):
@@ -162,18 +166,18 @@
             status, page = self.platform.results(node, job, after)
         except (OSError, http.client.HTTPException, ValueError):
             return
-        self.promises.results_read(job, after, status, page)
+        self.checker.check_results_page(job, after, status, page)
 
     def caller(self, number):
         plan = random.Random(self.seed * 1000 + number)
-        turn = 0
+        sequence = 0
         while not self.stopped.is_set():
-            turn += 1
-            name = "c%dx%d" % (number, turn)
+            sequence += 1
+            name = "c%dx%d" % (number, sequence)
             node = plan.randrange(self.node_count)
             kind = plan.random()
             if kind < 0.03:
-                self.deadly(node, name)
+                self.send_crashing_request(node, name)
             elif kind < 0.4:
                 self.stream(node, name)
             elif kind < 0.7:
@@ -183,16 +187,16 @@
                 plan.shuffle(order)
                 self.submit(order, name)
             else:
-                jobs = sorted(self.promises.accepted)
+                jobs = sorted(self.checker.accepted)
                 if jobs:
                     job = plan.choice(jobs)
-                    after = plan.randrange(self.promises.accepted[job])
+                    after = plan.randrange(self.checker.accepted[job])
                     self.read(node, job, after)
             time.sleep(0.01)
 
     # Faults.
 
-    def note(self, text):
+    def log(self, text):
         print("seed %d: %s" % (self.seed, text), flush=True)
 
     def some_link(self):
@@ -203,7 +207,7 @@
     def fault_link(self):
         name, link = self.some_link()
         kind = self.random.choice(["delay", "reset", "cut forward", "cut back", "silence"])
-        self.note("link to %s: %s" % (name, kind))
+        self.log("link to %s: %s" % (name, kind))
         if kind == "delay":
             link.delay_seconds = self.random.choice([0.05, 0.3, 1.5])
         elif kind == "reset":
@@ -217,7 +221,7 @@
         return link.heal
 
     def is_up(self, index):
-        """Whether a node's process answers, and so heeds signals."""
+        """Returns whether a node responds, which implies that its signal handling is set up."""
         try:
             return call(self.platform.ready[index], "GET", "/api/ready")[0] > 0
         except (OSError, http.client.HTTPException):
@@ -227,10 +231,10 @@
         index = self.random.randrange(self.node_count)
         process = self.platform.node_processes[index]
         kind = self.random.choice(["kill", "freeze", "stop", "kill all"])
-        self.note("node %d: %s" % (index, kind))
-        # All killed, nodes may forget two ends that no record holds yet; one that wakes may go on with
-        # a request that it had read.
-        self.ends_excused += {"kill all": 2, "freeze": 1}.get(kind, 0)
+        self.log("node %d: %s" % (index, kind))
+        # When all nodes are killed, up to two runner crashes that are not recorded yet may be lost.
+        # A node that resumes may continue a request that it read before it was suspended.
+        self.allowed_extra_crashes += {"kill all": 2, "freeze": 1}.get(kind, 0)
         if kind == "freeze":
             process.freeze()
             return process.wake
@@ -239,11 +243,13 @@
                 each.kill()
             return lambda: [each.start() for each in self.platform.node_processes]
         if kind == "stop":
-            # Before `main` no process can hold a signal.
-            wait_for(lambda: heeds_signals(process), "node %d to hold signals" % index)
+            # A process cannot block signals before `main` starts.
+            wait_for(lambda: blocks_or_handles_sigterm(process),
+                     "node %d to block or handle signals" % index)
             code = process.stop(60.0)
             if code != 0:
-                self.promises.break_one("node %d: a planned stop ended with %s" % (index, code))
+                self.checker.record_violation(
+                    "node %d: graceful shutdown exited with %s" % (index, code))
         else:
             process.kill()
         return process.start
@@ -252,7 +258,7 @@
         name = self.random.choice(sorted(self.platform.runners))
         address = self.platform.runners[name]
         kind = self.random.choice(["restart", "break", "spoil", "foreign", "turn away", "fail"])
-        self.note("runner %s: %s" % (name, kind))
+        self.log("runner %s: %s" % (name, kind))
         if kind == "restart":
             with self.runners_lock:
                 self.restart_runner(name)
@@ -268,54 +274,55 @@
             error_status=0)
 
     def set_runner_faults(self, address, **values):
-        """A runner that has just ended has no faults, and begins without any."""
+        """Sets faults of a runner; one that has just ended is skipped and restarts without any."""
         try:
             self.platform.faults(address, **values)
         except (OSError, http.client.HTTPException):
-            self.note("runner at %s is away" % address)
+            self.log("runner at %s is unreachable" % address)
 
     def restart_runner(self, name):
-        """Ends a runner, which starts again at its address."""
-        self.revive_runner(name)
+        """Kills a runner and restarts it at the same address."""
+        self.restart_if_crashed(name)
         self.collect_runs(name)
         self.platform.runner_process(name).kill()
-        self.start_again(name)
+        self.start_runner_again(name)
 
-    def start_again(self, name):
-        """Under another id or as another start of the same one; at once or when its entry is gone."""
+    def start_runner_again(self, name):
+        """Restarts a runner under a new id or its old one, possibly after its entry is removed."""
         same_id = self.start_random.choice([False, True])
-        gone_meanwhile = same_id and self.start_random.choice([False, True])
-        self.note("runner %s starts again%s%s" % (name, " under its id" if same_id else "",
-                                                  ", after a while" if gone_meanwhile else ""))
-        if gone_meanwhile:
+        entry_removed = same_id and self.start_random.choice([False, True])
+        self.log("runner %s restarts%s%s" % (
+            name, " under its id" if same_id else "",
+            ", after its entry is removed" if entry_removed else ""))
+        if entry_removed:
             self.platform.drop_runner(name)
             time.sleep(self.start_random.choice([0.1, 1.0]))
         self.platform.start_runner_again(name, same_id)
 
-    def revive_runners(self):
-        """Runners that a request has ended come back after a while, as another start."""
-        while not self.judged.wait(0.2):
+    def restart_crashed_runners(self):
+        """Restarts runners that were crashed by a request, until all checks are done."""
+        while not self.checks_done.wait(0.2):
             with self.runners_lock:
                 for name in self.platform.runners:
-                    self.revive_runner(name)
+                    self.restart_if_crashed(name)
 
-    def revive_runner(self, name):
+    def restart_if_crashed(self, name):
         if self.platform.runner_process(name).handle.poll() == CRASH_EXIT_CODE:
-            self.promises.runner_ended()
-            self.start_again(name)
+            self.checker.count_runner_crash()
+            self.start_runner_again(name)
 
     def collect_runs(self, name):
-        """Adds up what ran at a runner; a runner that has just ended tells nothing."""
+        """Adds the execution counts of a runner; one that has just ended cannot be queried."""
         try:
-            told = call_json(self.platform.runners[name], "GET", "/admin/runs")[1]
+            runs_by_request = call_json(self.platform.runners[name], "GET", "/admin/runs")[1]
         except (OSError, http.client.HTTPException):
             return
-        for request, runs in told.items():
-            self.known_runs[request] = self.known_runs.get(request, 0) + runs
+        for request, runs in runs_by_request.items():
+            self.observed_runs[request] = self.observed_runs.get(request, 0) + runs
 
     def fault_store(self):
         kind = self.random.choice(["busy", "reset", "silent", "lose", "late", "slow", "forget"])
-        self.note("store: %s" % kind)
+        self.log("store: %s" % kind)
         values = {"busy": {"outage": "busy"}, "reset": {"outage": "reset"},
                   "silent": {"outage": "silent"}, "lose": {"lose_answers": 10},
                   "late": {"late_appends": 5, "late_ms": 700}, "slow": {"delay_ms": 200},
@@ -326,7 +333,7 @@
 
     def change_configuration(self):
         self.version += self.random.randrange(1, 4)
-        self.note("configuration %d" % self.version)
+        self.log("configuration %d" % self.version)
         self.configure()
         return lambda: None
 
@@ -335,15 +342,15 @@
             self.version,
             lambda routes: self.platform.configure(self.version, [UNSAFE_ROUTE] + routes))
 
-    def play(self):
+    def run(self):
         for name in self.platform.runners:
             self.platform.list_runner(name)
         self.configure()
         self.platform.wait_ready()
         callers = [threading.Thread(target=self.caller, args=(number,), daemon=True)
                    for number in range(CALLERS)]
-        reviver = threading.Thread(target=self.revive_runners, daemon=True)
-        others = [reviver]
+        restarter = threading.Thread(target=self.restart_crashed_runners, daemon=True)
+        others = [restarter]
         if self.platform.runner_options:
             others.append(threading.Thread(target=self.vary_slowness, daemon=True))
         callers += [threading.Thread(target=self.configuration_watch.watch, daemon=True,
@@ -351,16 +358,16 @@
                     for number in range(WATCHERS)]
         for thread in callers + others:
             thread.start()
-        self.disturb()
+        self.inject_faults()
         self.stopped.set()
         for thread in callers:
             thread.join(120)
-        self.settle()
-        self.judged.set()
-        reviver.join(60)
+        self.wait_and_verify()
+        self.checks_done.set()
+        restarter.join(60)
 
-    def disturb(self):
-        """Groups of faults, one after another; each heals before the next."""
+    def inject_faults(self):
+        """Injects groups of faults in sequence; each group is healed before the next begins."""
         for _ in range(self.steps):
             faults = [self.fault_link, self.fault_node, self.fault_runner, self.fault_store,
                       self.change_configuration]
@@ -371,61 +378,61 @@
                 heal()
             time.sleep(self.random.choice([0.0, 0.5, 2.0]))
 
-    def settle(self):
-        """Without faults every accepted job ends, and what was seen can be judged."""
+    def wait_and_verify(self):
+        """Waits, without faults, until every accepted job ends, and checks the invariants."""
         self.platform.wait_ready()
         self.wait_jobs()
         for name in self.platform.runners:
             self.collect_runs(name)
-        self.promises.check_unsafe(self.known_runs)
-        self.promises.check_runner_ends(self.ends_excused)
-        self.promises.check_results(self.items_may_fail)
+        self.checker.check_unsafe(self.observed_runs)
+        self.checker.check_runner_crashes(self.allowed_extra_crashes)
+        self.checker.check_results(self.items_may_fail)
 
     def wait_jobs(self):
-        for job, count in self.promises.accepted.items():
+        for job, count in self.checker.accepted.items():
             node = len(job) % self.node_count
 
-            def whole():
-                # A client reads on behind what it has; what stands before is read again below.
-                self.read(node, job, self.promises.next_position(job))
-                return self.promises.next_position(job) >= count
+            def complete():
+                # Reads only results past those already seen; the earlier ones are read again below.
+                self.read(node, job, self.checker.next_position(job))
+                return self.checker.next_position(job) >= count
 
             try:
-                wait_for(whole, job, SETTLE_SECONDS)
+                wait_for(complete, job, SETTLE_SECONDS)
                 self.read(node, job, 0)
             except TimeoutError:
-                self.promises.break_one("job %s: not whole after the faults" % job)
+                self.checker.record_violation("job %s: incomplete after the faults" % job)
 
 
 def run_seed(kind, seed, steps, nodes=NODES, runners=RUNNERS):
-    """Plays one kind of soak; returns whether all promises held. A failed run's logs are kept."""
+    """Runs one soak; returns whether all invariants held. Logs of a failed run are kept."""
     directory = tempfile.mkdtemp(prefix="soak-%d-" % seed)
     soak = kind(seed, steps, directory, nodes, runners)
     try:
-        soak.play()
+        soak.run()
     finally:
         soak.platform.stop()
-    for line in soak.promises.broken:
-        soak.note("BROKEN " + line)
-    soak.note("%s; %s" % (sorted(soak.promises.counts.items()),
-                          "kept " + directory if soak.promises.broken else "held"))
-    if not soak.promises.broken:
+    for line in soak.checker.violations:
+        soak.log("BROKEN " + line)
+    soak.log("%s; %s" % (sorted(soak.checker.counts.items()),
+                          "kept " + directory if soak.checker.violations else "held"))
+    if not soak.checker.violations:
         for path in pathlib.Path(directory).iterdir():
             path.unlink()
         pathlib.Path(directory).rmdir()
-    return not soak.promises.broken
+    return not soak.checker.violations
 
 
 def seeds_of(path):
-    """Reads the first word of each line that is not a comment."""
+    """Returns the seeds of a file: the first word of each line that is not a comment."""
     lines = [line.split() for line in path.read_text().splitlines()]
     return [int(words[0]) for words in lines if words and not words[0].startswith("#")]
 
 
-def play_seeds(kind, seeds_file, description):
-    """The command line of a kind of soak: plays the seeds asked for, or those of its file."""
+def run_seeds(kind, seeds_file, description):
+    """Command line of a soak test: runs the requested seeds, or those of its seed file."""
     parser = argparse.ArgumentParser(description=description)
-    parser.add_argument("--seed", type=int, help="play this seed; default: those of the file")
+    parser.add_argument("--seed", type=int, help="run this seed; default: those of the file")
     parser.add_argument("--seeds", type=int, default=1, help="how many seeds, from --seed on")
     parser.add_argument("--steps", type=int, default=6, help="groups of faults")
     parser.add_argument("--nodes", type=int, default=NODES)
@@ -442,4 +449,4 @@
 
 
 if __name__ == "__main__":
-    play_seeds(Soak, "seeds.txt", __doc__)
+    run_seeds(Soak, "seeds.txt", __doc__)
--- a/tests/system/memory_limit_test.py
+++ b/tests/system/memory_limit_test.py
@@ -48,7 +48,7 @@
 class SlowCaller:
     """Sends a request and takes a byte of its answer each second."""
 
-    def __init__(self, address, number, body, more_headers=""):
+    def __init__(self, address, number, body, extra_headers=""):
         host, port = address.rsplit(":", 1)
         self.text = b""
         self.open = True
@@ -57,11 +57,11 @@
         self.socket.connect((host, int(port)))
         head = ("POST /ask/1 HTTP/1.1\r\nHost: %s\r\nStoathold-Attempt-Id: slow%d\r\n"
                 "Stoathold-Deadline-Ms: 20000\r\nContent-Length: %d\r\n%s\r\n")
-        self.rest = (head % (HOST, number, len(body), more_headers)).encode() + body
+        self.rest = (head % (HOST, number, len(body), extra_headers)).encode() + body
         self.socket.setblocking(False)
-        self.go_on()
+        self.advance()
 
-    def go_on(self):
+    def advance(self):
         """Sends what is left of the request, then takes a byte if there is one."""
         try:
             if self.rest:
@@ -181,7 +181,7 @@
                     started += 1
                 for caller in callers:
                     if caller.open:
-                        caller.go_on()
+                        caller.advance()
                 time.sleep(max(0.0, second - time.monotonic()))
         self.check(others, "slow callers")
         heads = [caller.text for caller in callers if caller.text]
--- a/tests/system/platform_fleet.py
+++ b/tests/system/platform_fleet.py
@@ -71,7 +71,7 @@
         self.key = None  # Of callers that name none.
         self.runner_options = runner_options or {}  # By name: more arguments of that runner.
         self.runner_starts = 0
-        self.starts_of = {}  # By the id of a runner: the time that it tells for its start.
+        self.start_times = {}  # By the id of a runner: the time that it tells for its start.
         link = link or (lambda kind, name, address: address)
         ports = free_ports(1 + runners + 3 * nodes)
         self.store = "127.0.0.1:%d" % ports.pop()
@@ -110,7 +110,7 @@
             wait_for(lambda a=address: call(a, "GET", "/admin/none")[0] != 0, address)
 
     def start_runner(self, name, runner_id):
-        self.note_start(runner_id)
+        self.record_start(runner_id)
         crash = [] if self.crash_body is None else ["--crash-body", self.crash_body]
         return Process(runner_id, [
             BUILD / "apps/stoathold-emulator", "inference-runner", "--listen", self.runners[name],
@@ -118,10 +118,10 @@
             "--event-bytes", self.sizes.event_bytes] + crash + self.runner_options.get(name, []),
             self.directory)
 
-    def note_start(self, runner_id):
+    def record_start(self, runner_id):
         """Two starts of a runner never tell the same time."""
         now = int(time.time() * 1000)
-        self.starts_of[runner_id] = max(now, self.starts_of.get(runner_id, 0) + 1)
+        self.start_times[runner_id] = max(now, self.start_times.get(runner_id, 0) + 1)
 
     def replace_ended_runners(self, same_id=False):
         """Starts each runner that has ended again, and lists it; returns how many."""
@@ -141,18 +141,18 @@
         index = list(self.runners).index(name)
         process = self.runner_processes[index]
         if same_id:
-            self.note_start(process.name)
+            self.record_start(process.name)
             process.start()
         else:
             self.runner_starts += 1
             self.drop_runner(name)
             process = self.start_runner(name, "%s.%d" % (name, self.runner_starts))
             self.runner_processes[index] = process
-        wait_for(lambda: self.ended_by_request(process) or
+        wait_for(lambda: self.crashed_by_request(process) or
                  call(self.runners[name], "GET", "/admin/runs")[0] == 200, process.name)
         self.list_runner(name, runner_id=process.name)
 
-    def ended_by_request(self, process):
+    def crashed_by_request(self, process):
         """A request that ends its runners may wait for one: it reaches it some 30 ms after its start."""
         return self.crash_body is not None and process.handle.poll() == CRASH_EXIT_CODE
 
@@ -181,7 +181,7 @@
         self.append("keyed.servers", key, {
             "service": "chat", "address": self.runner_routes[name], "zone": "z1", "slots": 4,
             "state": state, "version": "1", "cold_remaining_ms": 0, "sequence": 1,
-            "born": self.starts_of[key]})
+            "born": self.start_times[key]})
 
     def configure(self, version, extra_routes=(), tenants=None, extra_services=()):
         routes = [
@@ -209,18 +209,18 @@
         status, _, _ = call(address, "POST", "/admin/faults", values)
         assert status == 200, status
 
-    def keys_of(self, key):
+    def key_headers(self, key):
         key = key or self.key
         return {} if key is None else {"Stoathold-Key": key}
 
     def ask(self, node, request, body=b"q", key=None):
-        keys = self.keys_of(key)
+        keys = self.key_headers(key)
         return call(self.nodes[node], "POST", "/ask/1", body,
                     {**keys, "Host": HOST, "Stoathold-Attempt-Id": request,
                      "Stoathold-Deadline-Ms": "15000"})
 
     def submit(self, node, job, count=3, key=None, prefix="/drafts/"):
-        keys = self.keys_of(key)
+        keys = self.key_headers(key)
         items = [{"id": "%s-%d" % (job, i), "path": prefix + "1",
                   "headers": {"Stoathold-Model": "m"},
                   "body": base64.b64encode(self.sizes.item_body(i)).decode(), "token_count": 100}
@@ -229,7 +229,7 @@
                     {**keys, "Host": HOST, "Stoathold-Attempt-Id": job})[0]
 
     def results(self, node, job, after=0, key=None):
-        keys = self.keys_of(key)
+        keys = self.key_headers(key)
         return call_json(self.nodes[node], "GET", "/api/lots/%s?after_rev=%d" % (job, after), None,
                          {**keys, "Host": HOST, "Stoathold-Max-Wait-Ms": "1000"})
 
@@ -237,7 +237,7 @@
         """Asks for the request of an item: (status, body)."""
         target = "/api/items/%s?id=%s-%d" % (job, job, index)
         status, _, body = call(self.nodes[node], "GET", target, None,
-                               {**self.keys_of(None), "Host": HOST})
+                               {**self.key_headers(None), "Host": HOST})
         return status, body
 
     def wait_results(self, node, job, count, key=None):
--- a/tests/system/platform_path_test.py
+++ b/tests/system/platform_path_test.py
@@ -352,7 +352,7 @@
                 if gone_meanwhile:
                     self.platform.drop_runner(name)
                 self.platform.start_runner_again(name, same_id=True)
-            start = b'"born":"%d"' % self.platform.starts_of["r1"]
+            start = b'"born":"%d"' % self.platform.start_times["r1"]
             wait_for(lambda told=start: told in self.platform.node_processes[0].log_path.read_bytes(),
                      "the news at node 0")
             for attempt in range(10):
--- a/tests/system/recovery_path_test.py
+++ b/tests/system/recovery_path_test.py
@@ -27,7 +27,7 @@
 OPEN_JOBS = 20
 # Items of a service without runners: readable as waiting, for good.
 WAITING_JOB = "waiting"
-WAITING_ROUTE = {"name": "later", "host": HOST, "path_prefix": "/later/", "kind": "batch",
+ROUTE_WITHOUT_RUNNERS = {"name": "later", "host": HOST, "path_prefix": "/later/", "kind": "batch",
                  "timeout_ms": 20000, "target_latency_ms": 5000, "service": "absent",
                  "max_attempts": 3, "completion_target_ms": 20000, "retention_s": 600,
                  "max_queued_tokens": 100000}
@@ -54,7 +54,7 @@
 
     def fill(self):
         """Many jobs are finished, many are open, and the store has forgotten its history."""
-        self.bring_up([WAITING_ROUTE], extra_services=["absent"])
+        self.bring_up([ROUTE_WITHOUT_RUNNERS], extra_services=["absent"])
         finished = ["finished%d" % number for number in range(FINISHED_JOBS)]
         for number, job in enumerate(finished):
             self.assertEqual(self.platform.submit(number % NODES, job, ITEMS), 202)
--- a/tests/system/service_without_runners_test.py
+++ b/tests/system/service_without_runners_test.py
@@ -22,7 +22,7 @@
 # Records that hold a submission of so many items.
 SIZES = Sizes(record_bytes=262144, call_bytes=2097152, status_seconds=1200,
               queued_tokens=QUEUED_TOKENS)
-WAITING_ROUTE = {"name": "later", "host": HOST, "path_prefix": "/later/", "kind": "batch",
+ROUTE_WITHOUT_RUNNERS = {"name": "later", "host": HOST, "path_prefix": "/later/", "kind": "batch",
                  "timeout_ms": 20000, "target_latency_ms": 5000, "service": "absent",
                  "max_attempts": 3, "completion_target_ms": 20000, "retention_s": 600,
                  "max_queued_tokens": QUEUED_TOKENS}
@@ -39,7 +39,7 @@
         self.addCleanup(self.platform.stop)
         for name in self.platform.runners:
             self.platform.list_runner(name)
-        self.platform.configure(1, [WAITING_ROUTE], extra_services=["absent"])
+        self.platform.configure(1, [ROUTE_WITHOUT_RUNNERS], extra_services=["absent"])
         self.platform.wait_ready()
 
     def items_seen(self):
