--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -12,7 +12,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 BUILD = pathlib.Path(os.environ.get("STOATHOLD_BUILD", ROOT / "build" / "release"))
-START_PATIENCE_SECONDS = 30.0
+START_TIMEOUT_SECONDS = 30.0
 
 
 def free_ports(count):
@@ -54,9 +54,9 @@
     return status, json.loads(content) if content else None
 
 
-def wait_for(condition, what, patience=START_PATIENCE_SECONDS):
+def wait_for(condition, what, timeout_seconds=START_TIMEOUT_SECONDS):
     """Waits until condition() is true; raises with `what` if it does not become so."""
-    end = time.monotonic() + patience
+    end = time.monotonic() + timeout_seconds
     while time.monotonic() < end:
         try:
             if condition():
@@ -89,16 +89,16 @@
             self.handle.kill()
         self.handle.wait()
 
-    def freeze(self):
+    def suspend(self):
         self.handle.send_signal(signal.SIGSTOP)
 
-    def wake(self):
+    def resume(self):
         self.handle.send_signal(signal.SIGCONT)
 
-    def stop(self, patience=40.0):
+    def stop(self, timeout_seconds=40.0):
         """SIGTERM: a planned stop; returns the exit code."""
         self.handle.terminate()
-        return self.handle.wait(patience)
+        return self.handle.wait(timeout_seconds)
 
 
 class Fleet:
@@ -121,7 +121,7 @@
         return self
 
     def __exit__(self, *_):
-        self.end()
+        self.stop()
 
     def zone_of(self, index):
         return "zone-%d" % (index % self.zones + 1)
@@ -130,7 +130,7 @@
         self.processes[name] = Process(name, arguments, self.directory)
         return self.processes[name]
 
-    def start_stand_ins(self):
+    def start_emulators(self):
         emulator = BUILD / "apps" / "stoathold-emulator"
         self.start_process("log", [emulator, "log", "--listen", self.log])
         self.start_process("machines", [emulator, "machines", "--listen", self.machines])
@@ -183,7 +183,7 @@
         wait_for(lambda: call(address, "GET", "/readyz")[0] == 200, "node-%d to be ready" % index)
 
     def start(self):
-        self.start_stand_ins()
+        self.start_emulators()
         self.start_nodes()
 
     def control(self, *arguments, node=0):
@@ -206,15 +206,15 @@
     def process_of(self, http_address):
         return self.processes["node-%d" % self.node_http.index(http_address)]
 
-    def fault(self, address, **faults):
+    def set_faults(self, address, **faults):
         """Switches faults of a stand-in."""
         status, _, _ = call(address, "POST", "/admin/faults", faults)
         assert status == 200
 
-    def end(self):
+    def stop(self):
         for process in self.processes.values():
             if process.handle.poll() is None:
-                process.wake()
+                process.resume()
                 process.kill()
 
 
--- a/scripts/relay.py
+++ b/scripts/relay.py
@@ -42,7 +42,7 @@
             Fleet(directory, nodes=1, engines=2, zones=1) as fleet:
         source, pass_through = fleet.engines
         fleet.engines = []
-        fleet.start_stand_ins()
+        fleet.start_emulators()
         fleet.engines = [source]
         fleet.start_process("source", [BENCH, "token-source", "--listen", source, "--tokens", 200])
         wait_for(lambda: call(source, "GET", "/v1/load")[0] == 200, "the token source")
--- a/tests/soak/configuration_watch.py
+++ b/tests/soak/configuration_watch.py
@@ -17,7 +17,7 @@
 STALE_SECONDS = 1.0
 # Numbers of additional unused routes, so that some seeds have large configuration versions.
 IDLE_ROUTES = [0, 0, 700]
-ASK_EVERY_SECONDS = 0.03
+REQUEST_INTERVAL_SECONDS = 0.03
 
 
 def route(name):
@@ -67,7 +67,7 @@
         while not stopped.is_set():
             sequence += 1
             self.ask(plan, "w%sx%d" % (seed, sequence), call)
-            time.sleep(ASK_EVERY_SECONDS)
+            time.sleep(REQUEST_INTERVAL_SECONDS)
 
     def ask(self, plan, request, call):
         asked = plan.choice(self.routes[-2:])
--- a/tests/soak/hard_load.py
+++ b/tests/soak/hard_load.py
@@ -15,7 +15,7 @@
 import time
 
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parents[1] / "system"))
-from memory_limit_test import SlowCaller, is_clear_refusal  # noqa: E402
+from memory_limit_test import SlowClient, is_explicit_rejection  # noqa: E402
 from platform_fleet import HOST, LARGE_SIZES, stream_text  # noqa: E402
 from fleet import wait_for  # noqa: E402
 
@@ -28,13 +28,13 @@
 # A request body of 60 kB yields a response of 300 kB, more than the client's socket buffers hold.
 SIZES = dataclasses.replace(LARGE_SIZES, event_bytes=60000)
 SLOW_BODY = b"s" * 60000
-SLOW_CALLERS = 40
-SLOW_CALLER_SECONDS = 4
+SLOW_CLIENTS = 40
+SLOW_CLIENT_SECONDS = 4
 # Throughput of a slow runner in each direction, in bytes per second.
 SLOW_RUNNER_BYTES = 40000
 OWN_KEY = "key-of-alder"
 FLOOD_KEYS = ["key-of-birch", "key-of-cedar", "key-of-dogwood"]
-FLOOD_CALLERS = 12
+FLOOD_CLIENTS = 12
 FLOOD_SECONDS = 2.0
 # Only birch has a rate limit: 20 requests per second over all nodes.
 TENANTS = [{"name": key.removeprefix("key-of-"), "api_keys": [key],
@@ -80,7 +80,7 @@
         """Several tenants send requests in a closed loop, rotating over the nodes."""
         self.log("flood")
         end = time.monotonic() + FLOOD_SECONDS
-        for number in range(FLOOD_CALLERS):
+        for number in range(FLOOD_CLIENTS):
             self.start_thread(self.flood, number, end)
         return lambda: None
 
@@ -106,33 +106,33 @@
             if status == 429 and key != FLOOD_KEYS[0]:
                 self.checker.record_violation("flood of %s: 429 without a rate limit" % key)
 
-    def fault_slow_callers(self):
+    def fault_slow_clients(self):
         """Many clients of one node read one byte per second, some until its process ends."""
         index = self.random.randrange(self.node_count)
         self.log("slow clients at node %d" % index)
         self.series += 1
-        self.start_thread(self.slow_callers, index, self.series)
+        self.start_thread(self.slow_clients, index, self.series)
         return lambda: None
 
-    def slow_callers(self, index, series):
-        callers = []
-        for number in range(SLOW_CALLERS):
+    def slow_clients(self, index, series):
+        clients = []
+        for number in range(SLOW_CLIENTS):
             try:
-                callers.append(SlowCaller(self.platform.nodes[index], series * 1000 + number,
+                clients.append(SlowClient(self.platform.nodes[index], series * 1000 + number,
                                           SLOW_BODY, "Stoathold-Key: %s\r\n" % OWN_KEY))
             except OSError:
                 self.checker.count("slow caller not connected")
-        for _ in range(SLOW_CALLER_SECONDS):
-            for caller in callers:
-                if caller.open:
-                    caller.advance()
+        for _ in range(SLOW_CLIENT_SECONDS):
+            for client in clients:
+                if client.open:
+                    client.advance()
             time.sleep(1.0)
         self.check_memory(index)
-        for caller in callers:
-            self.checker.count("slow caller %s" % (caller.text[:1].decode() or "unanswered"))
-            if not b"HTTP/1.1 ".startswith(caller.text[:9]):
-                self.checker.record_violation("slow client: not an HTTP response: %r" % caller.text)
-            caller.close()
+        for client in clients:
+            self.checker.count("slow caller %s" % (client.text[:1].decode() or "unanswered"))
+            if not b"HTTP/1.1 ".startswith(client.text[:9]):
+                self.checker.record_violation("slow client: not an HTTP response: %r" % client.text)
+            client.close()
 
     def check_memory(self, index):
         """Checks the peak resident memory of a node's process."""
@@ -166,7 +166,7 @@
         self.checker.count("large %s" % (status if complete else "cut"))
         if complete and status == 200 and body.decode() != stream_text(SLOW_BODY.decode()):
             self.checker.record_violation("%s: wrong response body" % request)
-        if complete and status in (413, 503) and not is_clear_refusal(status, body):
+        if complete and status in (413, 503) and not is_explicit_rejection(status, body):
             self.checker.record_violation("%s: status %s without an error body" % (request, status))
 
     # Signals.
@@ -204,7 +204,7 @@
         return heal_and_release
 
     def extra_faults(self):
-        return [self.fault_flood, self.fault_slow_callers, self.fault_slow_runner]
+        return [self.fault_flood, self.fault_slow_clients, self.fault_slow_runner]
 
     def wait_and_verify(self):
         for thread in self.background:
--- a/tests/soak/outage_power_loss.py
+++ b/tests/soak/outage_power_loss.py
@@ -28,13 +28,13 @@
         self.heal_all_faults()
         kind = self.random.choice(sorted(OUTAGES))
         self.log("store outage over the final power losses: %s" % kind)
-        self.platform.faults(self.platform.store, **OUTAGES[kind])
+        self.platform.set_faults(self.platform.store, **OUTAGES[kind])
         time.sleep(self.random.choice([0.0, 0.5, 2.0]))
         self.lose_power()
         time.sleep(self.random.choice([0.0, 0.3, 1.0, 4.0]))
         self.lose_power()
         time.sleep(self.random.choice([0.0, 1.0, 4.0]))
-        self.platform.faults(self.platform.store, outage="", delay_ms=0)
+        self.platform.set_faults(self.platform.store, outage="", delay_ms=0)
 
 
 if __name__ == "__main__":
--- a/tests/soak/power_loss.py
+++ b/tests/soak/power_loss.py
@@ -99,7 +99,7 @@
         self.log("node %d: %s" % (index, kind))
         self.busy_nodes.add(index)
         process = self.platform.node_processes[index]
-        heal = {"kill": self.kill_node, "freeze": self.freeze_node, "stop": self.stop_node}[kind](
+        heal = {"kill": self.kill_node, "freeze": self.suspend_node, "stop": self.stop_node}[kind](
             index, process)
 
         def heal_and_release():
@@ -112,11 +112,11 @@
         process.kill()
         return lambda: self.start_if_down(index)
 
-    def freeze_node(self, _index, process):
+    def suspend_node(self, _index, process):
         # A node that resumes may continue a request that it read before it was suspended.
         self.allowed_extra_crashes += 1
-        process.freeze()
-        return process.wake
+        process.suspend()
+        return process.resume
 
     def stop_node(self, index, process):
         """Starts a graceful shutdown; its exit code is ignored if a power loss interrupts it."""
@@ -153,7 +153,7 @@
         self.log("power loss; runners too: %s; store drops its history: %s" % (
             runners_too, drops_history))
         if drops_history:
-            self.platform.faults(self.platform.store, drop_history=True)
+            self.platform.set_faults(self.platform.store, drop_history=True)
         self.losses += 1
         # Up to two runner crashes that are not recorded yet may be lost.
         self.allowed_extra_crashes += 2
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -31,7 +31,7 @@
 # How often the simulated machine speed of each runner changes, and how often it is then slow.
 SLOWNESS_SECONDS = 0.6
 SLOW_PROBABILITY = 0.15
-CALLERS = 4
+CLIENTS = 4
 # Clients that request routes while configuration changes add and remove them.
 WATCHERS = 2
 SETTLE_SECONDS = 60.0
@@ -168,7 +168,7 @@
             return
         self.checker.check_results_page(job, after, status, page)
 
-    def caller(self, number):
+    def run_client(self, number):
         plan = random.Random(self.seed * 1000 + number)
         sequence = 0
         while not self.stopped.is_set():
@@ -236,8 +236,8 @@
         # A node that resumes may continue a request that it read before it was suspended.
         self.allowed_extra_crashes += {"kill all": 2, "freeze": 1}.get(kind, 0)
         if kind == "freeze":
-            process.freeze()
-            return process.wake
+            process.suspend()
+            return process.resume
         if kind == "kill all":
             for each in self.platform.node_processes:
                 each.kill()
@@ -276,7 +276,7 @@
     def set_runner_faults(self, address, **values):
         """Sets faults of a runner; one that has just ended is skipped and restarts without any."""
         try:
-            self.platform.faults(address, **values)
+            self.platform.set_faults(address, **values)
         except (OSError, http.client.HTTPException):
             self.log("runner at %s is unreachable" % address)
 
@@ -295,7 +295,7 @@
             name, " under its id" if same_id else "",
             ", after its entry is removed" if entry_removed else ""))
         if entry_removed:
-            self.platform.drop_runner(name)
+            self.platform.deregister_runner(name)
             time.sleep(self.start_random.choice([0.1, 1.0]))
         self.platform.start_runner_again(name, same_id)
 
@@ -327,8 +327,8 @@
                   "silent": {"outage": "silent"}, "lose": {"lose_answers": 10},
                   "late": {"late_appends": 5, "late_ms": 700}, "slow": {"delay_ms": 200},
                   "forget": {"drop_history": True}}[kind]
-        self.platform.faults(self.platform.store, **values)
-        return lambda: self.platform.faults(
+        self.platform.set_faults(self.platform.store, **values)
+        return lambda: self.platform.set_faults(
             self.platform.store, outage="", lose_answers=0, late_appends=0, delay_ms=0)
 
     def change_configuration(self):
@@ -344,23 +344,23 @@
 
     def run(self):
         for name in self.platform.runners:
-            self.platform.list_runner(name)
+            self.platform.register_runner(name)
         self.configure()
         self.platform.wait_ready()
-        callers = [threading.Thread(target=self.caller, args=(number,), daemon=True)
-                   for number in range(CALLERS)]
+        clients = [threading.Thread(target=self.run_client, args=(number,), daemon=True)
+                   for number in range(CLIENTS)]
         restarter = threading.Thread(target=self.restart_crashed_runners, daemon=True)
         others = [restarter]
         if self.platform.runner_options:
             others.append(threading.Thread(target=self.vary_slowness, daemon=True))
-        callers += [threading.Thread(target=self.configuration_watch.watch, daemon=True,
+        clients += [threading.Thread(target=self.configuration_watch.watch, daemon=True,
                                      args=("%d-%d" % (self.seed, number), self.call, self.stopped))
                     for number in range(WATCHERS)]
-        for thread in callers + others:
+        for thread in clients + others:
             thread.start()
         self.inject_faults()
         self.stopped.set()
-        for thread in callers:
+        for thread in clients:
             thread.join(120)
         self.wait_and_verify()
         self.checks_done.set()
--- a/tests/system/early_signals_test.py
+++ b/tests/system/early_signals_test.py
@@ -1,9 +1,10 @@
-"""Signals that reach a process before its loop runs.
+"""Tests signals that arrive before a process's event loop runs.
 
-What happened: a planned stop or a reload in the moments after a start ended the process with -15 or
--1, without a line: the signals were heeded only once most of the process was built. Soak seeds 5007,
-9107 and 9202 showed it. A settings file that is a pipe holds a process in its start for as long as a
-test likes. Before `main`, while the loader works, no program can hold a signal: not tested.
+Guards against a SIGTERM or SIGHUP shortly after the start killing the process (exit status -15 or
+-1, nothing logged) because handlers are installed only once most of the process is constructed.
+Soak seeds 5007, 9107 and 9202 showed it. The settings file is a named pipe, which blocks the process
+in its start for as long as a test needs. Signals before `main`, while the loader runs, cannot be
+blocked by the program and are not tested.
 """
 
 import json
@@ -22,7 +23,7 @@
 from fleet import BUILD, free_ports  # noqa: E402
 
 STARTS = 30
-HELD = [signal.SIGTERM, signal.SIGINT, signal.SIGHUP]
+BLOCKED_SIGNALS = [signal.SIGTERM, signal.SIGINT, signal.SIGHUP]
 END_SECONDS = 60
 
 
@@ -38,7 +39,7 @@
         self.platform.node_processes[0].kill()
         self.log = self.directory / "early.log"
 
-    def begin(self, arguments, **options):
+    def start_process(self, arguments, **options):
         with open(self.log, "ab") as log:
             handle = subprocess.Popen([str(item) for item in arguments], stdout=log, stderr=log,
                                       **options)
@@ -46,13 +47,13 @@
         self.addCleanup(handle.kill)
         return handle
 
-    def begin_before_settings(self, program, **options):
-        """Starts a process that waits for its settings; returns it and their writer."""
-        handle = self.begin([BUILD / "apps" / program, "--settings", self.pipe], **options)
+    def start_without_settings(self, program, **options):
+        """Starts a process that blocks on its settings; returns it and the pipe's write end."""
+        handle = self.start_process([BUILD / "apps" / program, "--settings", self.pipe], **options)
         return handle, open(self.pipe, "w", encoding="utf-8")
 
     def finish_start(self, writer, text):
-        # The file of the next read of the settings is an ordinary one.
+        # A later reload reads an ordinary file at the same path.
         ordinary = self.directory / "ordinary.yaml"
         ordinary.write_text(text)
         held = self.directory / "held.yaml"
@@ -62,7 +63,7 @@
         writer.close()
 
     def platform_settings(self):
-        """Of a node whose planned stops take half a second."""
+        """Returns settings of a node whose graceful shutdown takes half a second."""
         settings = json.loads(self.platform.settings[0].read_text())
         settings["bounds"]["grace_s"] = 1
         return json.dumps(settings)
@@ -76,16 +77,16 @@
         self.assertEqual(handle.wait(END_SECONDS), 0, self.log.read_text())
         self.assertIn(line, self.log.read_text())
 
-    def test_a_planned_stop_before_the_settings_are_read_is_heeded(self):
-        handle, writer = self.begin_before_settings("stoathold")
+    def test_sigterm_before_the_settings_are_read_stops_the_node(self):
+        handle, writer = self.start_without_settings("stoathold")
         handle.send_signal(signal.SIGTERM)
         time.sleep(0.05)
         self.assertIsNone(handle.poll())
         self.finish_start(writer, self.platform_settings())
         self.assert_ends_as_planned(handle, "node_stopped")
 
-    def test_a_reload_before_the_settings_are_read_ends_nothing(self):
-        handle, writer = self.begin_before_settings("stoathold")
+    def test_sighup_before_the_settings_are_read_does_not_end_the_node(self):
+        handle, writer = self.start_without_settings("stoathold")
         handle.send_signal(signal.SIGHUP)
         time.sleep(0.05)
         self.assertIsNone(handle.poll())
@@ -94,17 +95,18 @@
         self.assert_ends_as_planned(handle, "node_stopped")
         self.assertIn("settings_reloaded", self.log.read_text())
 
-    def test_a_starter_that_blocks_signals_does_not_make_the_node_deaf(self):
-        handle, writer = self.begin_before_settings(
-            "stoathold", preexec_fn=lambda: signal.pthread_sigmask(signal.SIG_BLOCK, HELD))
+    def test_signals_blocked_by_the_parent_process_are_handled(self):
+        handle, writer = self.start_without_settings(
+            "stoathold",
+            preexec_fn=lambda: signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS))
         handle.send_signal(signal.SIGTERM)
         self.finish_start(writer, self.platform_settings())
         self.assert_ends_as_planned(handle, "node_stopped")
 
-    def test_the_own_design_heeds_early_signals_too(self):
+    def test_stoathold_node_handles_early_signals(self):
         for early in (signal.SIGTERM, signal.SIGHUP):
             with self.subTest(early.name):
-                handle, writer = self.begin_before_settings("stoathold-node")
+                handle, writer = self.start_without_settings("stoathold-node")
                 handle.send_signal(early)
                 time.sleep(0.05)
                 self.assertIsNone(handle.poll())
@@ -115,7 +117,7 @@
                 self.pipe.unlink()
                 os.mkfifo(self.pipe)
 
-    def test_a_log_whose_reader_has_gone_ends_nothing(self):
+    def test_closed_log_pipe_does_not_end_the_node(self):
         reader, writer = os.pipe()
         handle = subprocess.Popen(
             [str(BUILD / "apps/stoathold"), "--settings", str(self.platform.settings[0])],
@@ -129,11 +131,11 @@
         handle.send_signal(signal.SIGTERM)
         self.assertEqual(handle.wait(END_SECONDS), 0)
 
-    def test_signals_at_any_moment_of_starts_and_ends_end_nothing_early(self):
-        """Starts with signals in series at random moments, from the first step of `main` on."""
+    def test_signals_at_random_times_never_kill_the_node(self):
+        """Sends bursts of signals at random times, beginning with the first step of `main`."""
         moments = random.Random(1)
         for number in range(STARTS):
-            handle, writer = self.begin_before_settings("stoathold")
+            handle, writer = self.start_without_settings("stoathold")
             self.finish_start(writer, self.platform_settings())
             for _ in range(moments.randrange(4)):
                 time.sleep(moments.choice([0, 0.0005, 0.002, 0.005, 0.02]))
--- a/tests/system/memory_limit_test.py
+++ b/tests/system/memory_limit_test.py
@@ -1,11 +1,11 @@
-"""A node with a limit of 120 MB keeps to it, and goes on serving, whatever callers and runners do.
+"""Tests that a node stays within its memory limit of 120 MB and keeps serving under any load.
 
-Before, nothing counted what a node held: bodies of 1 MB, answers that nobody read and requests of
-batch items each had a bound of their own or none, and a process over its limit is killed with all
-that it holds. Figures of the runs that set the reserve stand in docs/design/memory-budget.md.
+Guards against unaccounted memory: if request bodies of 1 MB, responses that clients do not read and
+requests of batch items have separate limits or none, a process exceeds its limit and is killed with
+everything it holds. docs/design/memory-budget.md has the measurements behind the reserve.
 
-Each test plays one load against a node, watches its resident memory, and checks other callers'
-answers meanwhile. Times are not checked: they depend on what else the machine does.
+Each test puts one load on a node, checks its peak resident memory, and checks the responses to
+other clients meanwhile. Latencies are not checked: they depend on what else the machine runs.
 """
 
 import dataclasses
@@ -26,27 +26,27 @@
 
 MEMORY_MB = 120
 MEGABYTE = 1024 * 1024
-# Of the test's process and, inherited, of the node; the smallest machines have 3,075.
-DESCRIPTORS = 2500
-SLOW_CALLERS = 2000
-SLOW_CALLERS_A_SECOND = 100
+# Open file limit of the test process, inherited by the node; the smallest machines allow 3,075.
+OPEN_FILE_LIMIT = 2500
+SLOW_CLIENTS = 2000
+SLOW_CLIENTS_PER_SECOND = 100
 LARGE_BODIES = 200
 JOBS = 6
 ITEMS = 200
-# Of which callers get 180.
-FEW_DESCRIPTORS = 300
+# Leaves 180 descriptors for client connections.
+LOW_OPEN_FILE_LIMIT = 300
 MANY_CONNECTIONS = 600
 MANY_CONNECTIONS_SECONDS = 6.0
-CLEAR_REFUSALS = (413, 429, 503)
+REJECTION_STATUSES = (413, 429, 503)
 
 
-def raise_descriptors():
+def raise_open_file_limit():
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    resource.setrlimit(resource.RLIMIT_NOFILE, (min(DESCRIPTORS, hard), hard))
+    resource.setrlimit(resource.RLIMIT_NOFILE, (min(OPEN_FILE_LIMIT, hard), hard))
 
 
-class SlowCaller:
-    """Sends a request and takes a byte of its answer each second."""
+class SlowClient:
+    """Sends a request and reads one byte of the response per call of `advance`."""
 
     def __init__(self, address, number, body, extra_headers=""):
         host, port = address.rsplit(":", 1)
@@ -62,7 +62,7 @@
         self.advance()
 
     def advance(self):
-        """Sends what is left of the request, then takes a byte if there is one."""
+        """Sends the rest of the request; once it is sent, reads one byte if available."""
         try:
             if self.rest:
                 self.rest = self.rest[self.socket.send(self.rest):]
@@ -79,13 +79,13 @@
         self.socket.close()
 
 
-class OtherCallers:
-    """Asks again and again, and keeps every answer, until it is stopped."""
+class BackgroundClients:
+    """Sends requests in a loop until it is stopped and keeps every response."""
 
     def __init__(self, platform):
         self.platform = platform
         self.answers = []
-        self.broken = []
+        self.failures = []
         self.stopped = threading.Event()
         self.thread = threading.Thread(target=self.run)
 
@@ -105,42 +105,42 @@
                 self.answers.append(self.platform.ask(0, "other%d" % number, b"q%d" % number)[::2] +
                                     (number,))
             except (OSError, http.client.HTTPException) as failure:
-                self.broken.append(repr(failure))
+                self.failures.append(repr(failure))
             time.sleep(0.05)
 
-    def wrong(self):
-        """Answers that are neither whole nor a clear refusal."""
+    def invalid_responses(self):
+        """Returns responses that are neither complete nor an explicit rejection."""
         return [(status, body[:200]) for status, body, number in self.answers
                 if not (status == 200 and body.decode() == stream_text("q%d" % number))
-                and not is_clear_refusal(status, body)]
+                and not is_explicit_rejection(status, body)]
 
     def served(self):
         return sum(status == 200 for status, _, _ in self.answers)
 
 
-def is_clear_refusal(status, body):
-    return status in CLEAR_REFUSALS and b"error" in body
+def is_explicit_rejection(status, body):
+    return status in REJECTION_STATUSES and b"error" in body
 
 
 class MemoryLimitTest(unittest.TestCase):
-    def start(self, sizes=LARGE_SIZES, runners=4, few_descriptors=False):
-        raise_descriptors()
+    def start(self, sizes=LARGE_SIZES, runners=4, low_open_file_limit=False):
+        raise_open_file_limit()
         self.directory = tempfile.TemporaryDirectory()
         self.addCleanup(self.directory.cleanup)
         self.platform = Platform(self.directory.name, 1, runners, sizes=sizes, memory_mb=MEMORY_MB)
         self.addCleanup(self.platform.stop)
-        if few_descriptors:
+        if low_open_file_limit:
             node = self.platform.node_processes[0]
             node.kill()
-            node.arguments = ["prlimit", "--nofile=%d" % FEW_DESCRIPTORS] + node.arguments
+            node.arguments = ["prlimit", "--nofile=%d" % LOW_OPEN_FILE_LIMIT] + node.arguments
             node.start()
         for name in self.platform.runners:
-            self.platform.list_runner(name)
+            self.platform.register_runner(name)
         self.platform.configure(1)
         self.platform.wait_ready()
 
     def peak_megabytes(self):
-        """The most that the node has held resident so far; fails if it has ended."""
+        """Returns the node's peak resident memory; fails if the process has ended."""
         pid = self.platform.node_processes[0].handle.pid
         status = pathlib.Path("/proc/%d/status" % pid).read_text()
         return int(re.search(r"VmHWM:\s+(\d+) kB", status).group(1)) / 1024
@@ -156,47 +156,47 @@
               (name, peak, others.served(), len(others.answers)), file=sys.stderr)
         if "-v" in sys.argv:
             page = call(self.platform.ready[0], "GET", "/metrics")[2].decode()
-            told = [line for line in page.splitlines()
-                    if re.match("stoathold_(memory|shortages|refusals|cut_off|requests_)", line)]
-            print("\n".join(told), file=sys.stderr)
+            memory_metrics = [line for line in page.splitlines()
+                              if re.match("stoathold_(memory|shortages|refusals|cut_off|requests_)", line)]
+            print("\n".join(memory_metrics), file=sys.stderr)
         self.assertLess(peak, MEMORY_MB)
-        self.assertEqual(others.wrong(), [])
-        self.assertEqual(others.broken, [])
+        self.assertEqual(others.invalid_responses(), [])
+        self.assertEqual(others.failures, [])
         self.assertGreater(others.served(), 0)
 
-    def test_callers_that_read_a_byte_a_second(self):
-        # Answers of 300 kB: they would take 600 MB.
+    def test_clients_that_read_one_byte_per_second(self):
+        # Unread responses of 300 kB each would need 600 MB.
         self.start(dataclasses.replace(LARGE_SIZES, event_bytes=60000))
         body = b"s" * 60000
         expected = stream_text(body.decode()).encode()
-        callers = []
-        with OtherCallers(self.platform) as others:
-            # As many a second as the runners have places for: others wait for memory only.
+        clients = []
+        with BackgroundClients(self.platform) as others:
+            # The arrival rate matches the runners' slots: other clients wait for memory only.
             started = 0
-            for _ in range(SLOW_CALLERS // SLOW_CALLERS_A_SECOND + 4):
+            for _ in range(SLOW_CLIENTS // SLOW_CLIENTS_PER_SECOND + 4):
                 second = time.monotonic() + 1
-                for _ in range(min(SLOW_CALLERS_A_SECOND, SLOW_CALLERS - started)):
-                    callers.append(SlowCaller(self.platform.nodes[0], started, body))
-                    self.addCleanup(callers[-1].close)
+                for _ in range(min(SLOW_CLIENTS_PER_SECOND, SLOW_CLIENTS - started)):
+                    clients.append(SlowClient(self.platform.nodes[0], started, body))
+                    self.addCleanup(clients[-1].close)
                     started += 1
-                for caller in callers:
-                    if caller.open:
-                        caller.advance()
+                for client in clients:
+                    if client.open:
+                        client.advance()
                 time.sleep(max(0.0, second - time.monotonic()))
         self.check(others, "slow callers")
-        heads = [caller.text for caller in callers if caller.text]
+        heads = [client.text for client in clients if client.text]
         self.assertTrue(all(b"HTTP/1.1 "[:len(text)] == text[:9] for text in heads))
-        self.assertEqual(started, SLOW_CALLERS)
+        self.assertEqual(started, SLOW_CLIENTS)
         status, _, answer = self.platform.ask(0, "whole", body)
         self.assertEqual((status, answer), (200, expected))
 
-    def test_connections_of_one_caller_push_out_nobody_else(self):
-        """At the bound of connections, those of whoever holds most go, idle or with heads that trickle.
+    def test_connections_of_one_client_do_not_evict_those_of_others(self):
+        """At the connection limit, the node closes connections of the client that holds the most.
 
-        Before, the one idle for longest went, so that one caller with enough connections had all
-        others' closed.
+        They may be idle or in the middle of a request head. Closing the connection that was idle
+        longest would let one client with many connections get all others closed.
         """
-        self.start(few_descriptors=True)
+        self.start(low_open_file_limit=True)
         host, port = self.platform.nodes[0].rsplit(":", 1)
         single = http.client.HTTPConnection(host, int(port), timeout=20,
                                             source_address=("127.0.0.2", 0))
@@ -220,12 +220,12 @@
             time.sleep(MANY_CONNECTIONS_SECONDS / MANY_CONNECTIONS)
         self.assertGreater(self.metric('stoathold_shortages_total{act="idle_closed"}'), 0)
         self.assertEqual(ask(1), (200, stream_text("q")))
-        # On the same connection: it was not closed and opened again.
+        # The same connection is still in use: it was not closed and reopened.
         self.assertIs(single.sock, kept)
         self.assertLess(self.peak_megabytes(), MEMORY_MB)
 
     def ask_at_once(self, count, body):
-        """Sends so many requests with this body at once: (status, answer) of each."""
+        """Sends `count` requests with this body at once; returns (status, response) of each."""
         outcomes = []
 
         def send(number):
@@ -243,17 +243,18 @@
         return outcomes
 
     def check_bodies(self, outcomes, letter):
-        """Each is served or refused with a reason, and the room of all is given back."""
+        """Checks that each is served or rejected with a reason and that all memory is released."""
         expected = stream_text(letter * LARGE_SIZES.event_bytes).encode()
         unclear = [(status, answer[:100]) for status, answer in outcomes
-                   if (status, answer) != (200, expected) and not is_clear_refusal(status, answer)]
+                   if (status, answer) != (200, expected)
+                   and not is_explicit_rejection(status, answer)]
         self.assertEqual(unclear, [])
         wait_for(lambda: self.metric('stoathold_memory_held_bytes{account="request_bodies"}') == 0,
-                 "the room of the bodies")
+                 "the memory of the bodies to be released")
 
-    def test_bodies_of_a_megabyte_at_once(self):
+    def test_concurrent_bodies_of_one_megabyte(self):
         self.start()
-        with OtherCallers(self.platform) as others:
+        with BackgroundClients(self.platform) as others:
             outcomes = self.ask_at_once(LARGE_BODIES, b"b" * MEGABYTE)
         self.check(others, "large bodies")
         served = sum(status == 200 for status, _ in outcomes)
@@ -266,10 +267,10 @@
     def test_a_runner_that_stops_reading(self):
         self.start(runners=2)
         with socket.create_server(("127.0.0.1", 0)) as silent:
-            self.platform.runner_routes["r0"] = "127.0.0.1:%d" % silent.getsockname()[1]
+            self.platform.runner_addresses["r0"] = "127.0.0.1:%d" % silent.getsockname()[1]
             self.platform.runner_process("r0").kill()
-            self.platform.list_runner("r0")
-            with OtherCallers(self.platform) as others:
+            self.platform.register_runner("r0")
+            with BackgroundClients(self.platform) as others:
                 outcomes = self.ask_at_once(30, b"r" * 300000)
             self.check(others, "silent runner")
         self.check_bodies(outcomes, "r")
@@ -287,7 +288,7 @@
                     return
                 time.sleep(0.1)
 
-        with OtherCallers(self.platform) as others:
+        with BackgroundClients(self.platform) as others:
             senders = [threading.Thread(target=submit, args=(number,)) for number in range(JOBS)]
             for sender in senders:
                 sender.start()
--- a/tests/system/narrow_links.py
+++ b/tests/system/narrow_links.py
@@ -1,4 +1,4 @@
-"""A platform whose nodes have links of their own to the store, which can be bounded, for tests."""
+"""Test fixture in which each node has its own, rate-limitable link to the store."""
 
 import pathlib
 import sys
@@ -11,7 +11,7 @@
 
 
 class NarrowLinksTest(unittest.TestCase):
-    """Requests and answers have their usual sizes. Holds no tests of its own."""
+    """Base class without tests of its own; requests and responses have realistic sizes."""
 
     NODES = 1
     RUNNERS = 4
@@ -20,7 +20,7 @@
         self.directory = tempfile.TemporaryDirectory()
         self.addCleanup(self.directory.cleanup)
         self.loop = LinkLoop()
-        self.store_links = []  # By node.
+        self.store_links = []  # Indexed by node.
         self.platform = Platform(self.directory.name, self.NODES, self.RUNNERS, self.make_link,
                                  sizes=LARGE_SIZES)
         self.addCleanup(self.platform.stop)
@@ -33,13 +33,13 @@
         return link.address
 
     def bring_up(self, extra_routes=(), extra_services=()):
-        """Lists all runners and waits until the nodes serve."""
+        """Registers all runners, configures the nodes and waits until they are ready."""
         for name in self.platform.runners:
-            self.platform.list_runner(name)
+            self.platform.register_runner(name)
         self.platform.configure(1, extra_routes, extra_services=extra_services)
         self.platform.wait_ready()
 
-    def turn_away(self, turned_away):
-        """Has the runners refuse all work, or no longer."""
+    def set_runners_rejecting(self, rejecting):
+        """Makes all runners reject every request, or accept requests again."""
         for address in self.platform.runners.values():
-            self.platform.faults(address, not_run=turned_away)
+            self.platform.set_faults(address, not_run=rejecting)
--- a/tests/system/platform_fleet.py
+++ b/tests/system/platform_fleet.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' store and runners, and real nodes that know only the store."""
+"""Emulated store and runners of the users' platform, and real nodes that know only the store."""
 
 import base64
 import dataclasses
@@ -18,48 +18,48 @@
 
 @dataclasses.dataclass(frozen=True)
 class Sizes:
-    """Bounds of the store, sizes of items and how long jobs are kept."""
+    """Size limits of the store, sizes of items, and the retention of jobs."""
 
     record_bytes: int = 2000
     call_bytes: int = 8000
     body_bytes: int = 700
-    event_bytes: int = 700  # Of the request's body that each event repeats.
+    event_bytes: int = 700  # Bytes of the request body that each event echoes.
     status_seconds: int = 120
     queued_tokens: int = 100000
 
     def item_body(self, index):
-        """The request of the item with this index in its job."""
+        """Returns the request body of the item with this index in its job."""
         return (b"%d" % index * self.body_bytes)[:self.body_bytes]
 
     def item_text(self, index):
-        """The whole output of that item."""
+        """Returns the complete output of that item."""
         echo = self.item_body(index)[:self.event_bytes].decode()
         return "\n".join("%s#%d" % (echo, i) for i in range(1, EVENTS + 1))
 
 
-# Small pieces: each request is several records, and a call holds few of them.
+# Small records: each request spans several of them, and a store call holds only a few.
 SMALL_SIZES = Sizes()
-# A request of 15 kB is one record, and an answer has 12 kB; jobs outlast any test.
+# A request of 15 kB fits one record, a response has 12 kB, and jobs outlive any test.
 LARGE_SIZES = Sizes(record_bytes=262144, call_bytes=2097152, body_bytes=15000, event_bytes=2400,
                     status_seconds=1200, queued_tokens=100000000)
 
 
-def frame(key, value):
-    """One record as the store takes it."""
+def encode_record(key, value):
+    """Returns one record in the wire format of the store."""
     content = bytes([len(key)]) + key.encode() + value
     return struct.pack(">I", len(content)) + content
 
 
-# With which a runner ends that a request has ended.
+# Exit code of a runner that a request crashed.
 CRASH_EXIT_CODE = 3
 
 
 class Platform:
-    """Starts and stops the processes; `link` may put a proxy before an address.
+    """Starts and stops the processes; `link` may put a proxy in front of an address.
 
-    `link(kind, name, address)` returns the address to be used instead; kinds are `store` (as node
-    `name` reaches it) and `runner`. Requests with the body `crash_body` end the runners that begin
-    to run them.
+    `link(kind, name, address)` returns the address to use instead; kinds are `store` (as reached by
+    node `name`) and `runner`. A request with the body `crash_body` crashes every runner that starts
+    to execute it.
     """
 
     def __init__(self, directory, nodes=3, runners=2, link=None, crash_body=None,
@@ -68,10 +68,10 @@
         self.directory = directory
         self.sizes = sizes
         self.crash_body = crash_body
-        self.key = None  # Of callers that name none.
-        self.runner_options = runner_options or {}  # By name: more arguments of that runner.
-        self.runner_starts = 0
-        self.start_times = {}  # By the id of a runner: the time that it tells for its start.
+        self.key = None  # API key of requests that name none.
+        self.runner_options = runner_options or {}  # By name: additional arguments of that runner.
+        self.replacement_count = 0
+        self.start_times = {}  # By runner id: the start time (`born`) that it reports.
         link = link or (lambda kind, name, address: address)
         ports = free_ports(1 + runners + 3 * nodes)
         self.store = "127.0.0.1:%d" % ports.pop()
@@ -79,12 +79,12 @@
             "store", [BUILD / "apps/stoathold-emulator", "metadata-store", "--listen", self.store],
             directory)
         self.runners = {}
-        self.runner_routes = {}
+        self.runner_addresses = {}
         self.runner_processes = []
         for index in range(runners):
             name, address = "r%d" % index, "127.0.0.1:%d" % ports.pop()
             self.runners[name] = address
-            self.runner_routes[name] = link("runner", name, address)
+            self.runner_addresses[name] = link("runner", name, address)
             self.runner_processes.append(self.start_runner(name, name))
         self.nodes = []
         self.ready = []
@@ -119,12 +119,12 @@
             self.directory)
 
     def record_start(self, runner_id):
-        """Two starts of a runner never tell the same time."""
+        """Records a start time in ms that is unique among the starts of a runner id."""
         now = int(time.time() * 1000)
         self.start_times[runner_id] = max(now, self.start_times.get(runner_id, 0) + 1)
 
-    def replace_ended_runners(self, same_id=False):
-        """Starts each runner that has ended again, and lists it; returns how many."""
+    def restart_ended_runners(self, same_id=False):
+        """Restarts and registers each runner that has ended; returns how many there were."""
         ended = 0
         for name in self.runners:
             if self.runner_process(name).handle.poll() is None:
@@ -137,49 +137,49 @@
         return self.runner_processes[list(self.runners).index(name)]
 
     def start_runner_again(self, name, same_id=False):
-        """A runner that has ended comes back at its address, under its id or under a new one."""
+        """Restarts an ended runner at its address, under its id or a new one, and registers it."""
         index = list(self.runners).index(name)
         process = self.runner_processes[index]
         if same_id:
             self.record_start(process.name)
             process.start()
         else:
-            self.runner_starts += 1
-            self.drop_runner(name)
-            process = self.start_runner(name, "%s.%d" % (name, self.runner_starts))
+            self.replacement_count += 1
+            self.deregister_runner(name)
+            process = self.start_runner(name, "%s.%d" % (name, self.replacement_count))
             self.runner_processes[index] = process
         wait_for(lambda: self.crashed_by_request(process) or
                  call(self.runners[name], "GET", "/admin/runs")[0] == 200, process.name)
-        self.list_runner(name, runner_id=process.name)
+        self.register_runner(name, runner_id=process.name)
 
     def crashed_by_request(self, process):
-        """A request that ends its runners may wait for one: it reaches it some 30 ms after its start."""
+        """Whether a request crashed a runner; a waiting one does so some 30 ms after the start."""
         return self.crash_body is not None and process.handle.poll() == CRASH_EXIT_CODE
 
-    def drop_runner(self, name):
-        """The store drops a runner's entry, as after heartbeats of silence."""
+    def deregister_runner(self, name):
+        """Removes a runner's entry from the store, as happens when its heartbeats stop."""
         self.append_raw("keyed.servers", self.runner_process(name).name, b"")
 
-    def cut_off_store(self, index):
-        """From now on a node finds nothing where it takes the store to be."""
+    def disconnect_store(self, index):
+        """Reloads a node's settings with a store address on which nothing listens."""
         settings = json.loads(self.settings[index].read_text())
         settings["platform"]["address"] = "127.0.0.1:1"
         self.settings[index].write_text(json.dumps(settings))
         self.node_processes[index].handle.send_signal(signal.SIGHUP)
 
     def append_raw(self, topic, key, value):
-        """Writes as the operator does, whom the store serves also while it fails the nodes."""
+        """Appends a record as the operator, whom the store serves during emulated outages too."""
         status, _, _ = call(self.store, "POST", "/api/log-append?topic=%s&part=0" % topic,
-                            frame(key, value), {"X-Operator": "1"})
+                            encode_record(key, value), {"X-Operator": "1"})
         assert status == 200, status
 
     def append(self, topic, key, value):
         self.append_raw(topic, key, json.dumps(value).encode())
 
-    def list_runner(self, name, state="ready", runner_id=None):
+    def register_runner(self, name, state="ready", runner_id=None):
         key = runner_id or name
         self.append("keyed.servers", key, {
-            "service": "chat", "address": self.runner_routes[name], "zone": "z1", "slots": 4,
+            "service": "chat", "address": self.runner_addresses[name], "zone": "z1", "slots": 4,
             "state": state, "version": "1", "cold_remaining_ms": 0, "sequence": 1,
             "born": self.start_times[key]})
 
@@ -205,7 +205,7 @@
             wait_for(lambda i=index: call(self.ready[i], "GET", "/api/ready")[0] == 200,
                      "node %d to be ready" % index)
 
-    def faults(self, address, **values):
+    def set_faults(self, address, **values):
         status, _, _ = call(address, "POST", "/admin/faults", values)
         assert status == 200, status
 
@@ -234,14 +234,14 @@
                          {**keys, "Host": HOST, "Stoathold-Max-Wait-Ms": "1000"})
 
     def item_body(self, node, job, index):
-        """Asks for the request of an item: (status, body)."""
+        """Reads the request body of an item; returns (status, body)."""
         target = "/api/items/%s?id=%s-%d" % (job, job, index)
         status, _, body = call(self.nodes[node], "GET", target, None,
                                {**self.key_headers(None), "Host": HOST})
         return status, body
 
     def wait_results(self, node, job, count, key=None):
-        """Reads on until all results are there; returns them in their positions."""
+        """Reads results until `count` of them are there; returns them in order of position."""
         found = []
 
         def complete():
--- a/tests/system/recovery_path_test.py
+++ b/tests/system/recovery_path_test.py
@@ -1,13 +1,12 @@
-"""All nodes are lost at once and come back behind narrow links, with real processes.
+"""Tests recovery after all nodes are killed at once and restart behind links of 30 Mbit/s.
 
-Accepted items were neither done nor given up, and nothing worked on them any more. It began when all
-nodes ended together and came back half a second later; they held all slots again at once
-(`slots_changed held=8 gained=8 lost=0`), and most of the open items stayed open to the end.
+Guards against accepted items that neither complete nor fail after a restart of all nodes. Nodes
+that restarted half a second after the loss held all slots again at once
+(`slots_changed held=8 gained=8 lost=0`), yet most of the open items stayed open.
 
-By then the store had forgotten its history, so that a request can only be read with the newest
-records of its partition: a page of up to 1 MB for 15 kB. A node's link carries 30 Mbit/s. So what a
-node reads is held against what is open; how long that takes is not judged, but for a time after
-which nothing more is expected.
+Once the store has dropped its history, a request can only be read with the newest records of its
+partition: a page of up to 1 MB for 15 kB. The tests therefore compare the bytes that nodes read
+with the size of the open requests. Recovery time is not checked beyond a timeout.
 """
 
 import json
@@ -20,22 +19,22 @@
 from fleet import call, call_json, wait_for
 
 NODES = 3
-# 30 Mbit/s, of each node to the store.
+# 30 Mbit/s from each node to the store.
 LINK_BYTES_PER_SECOND = 30e6 / 8
 ITEMS = 20
 FINISHED_JOBS = 40
 OPEN_JOBS = 20
-# Items of a service without runners: readable as waiting, for good.
+# Items of a service without runners: they stay readable as waiting.
 WAITING_JOB = "waiting"
 ROUTE_WITHOUT_RUNNERS = {"name": "later", "host": HOST, "path_prefix": "/later/", "kind": "batch",
                  "timeout_ms": 20000, "target_latency_ms": 5000, "service": "absent",
                  "max_attempts": 3, "completion_target_ms": 20000, "retention_s": 600,
                  "max_queued_tokens": 100000}
-# Nothing more is expected after this time; the links could carry all that is open 100 times.
-GIVE_UP_SECONDS = 120.0
-# Each open request may be read so often, as text, with what else a node reads at its start.
-READS_OF_AN_OPEN_REQUEST = 4
-START_BYTES_OF_A_NODE = 2e6
+# In this time the links could transfer all open requests 100 times.
+COMPLETION_TIMEOUT_SECONDS = 120.0
+# How often each open request may be read, as text, and what else a node may read at its start.
+MAX_READS_PER_OPEN_REQUEST = 4
+START_BYTES_PER_NODE = 2e6
 
 COUNTED_EVENTS = ("item_read_retried", "job_load_retried", "item_unreadable", "store_lost",
                   "job_started", "job_loaded", "job_finished", "item_done", "item_listed")
@@ -50,21 +49,21 @@
         self.open_jobs = ["open%d" % number for number in range(OPEN_JOBS)]
         self.starts = 0
 
-    # The day before the loss.
+    # State before the loss.
 
-    def fill(self):
-        """Many jobs are finished, many are open, and the store has forgotten its history."""
+    def prepare_jobs(self):
+        """Creates finished and open jobs, then makes the store drop its history."""
         self.bring_up([ROUTE_WITHOUT_RUNNERS], extra_services=["absent"])
         finished = ["finished%d" % number for number in range(FINISHED_JOBS)]
         for number, job in enumerate(finished):
             self.assertEqual(self.platform.submit(number % NODES, job, ITEMS), 202)
         for job in finished:
             self.platform.wait_results(0, job, ITEMS)
-        self.turn_away(True)
+        self.set_runners_rejecting(True)
         for number, job in enumerate(self.open_jobs):
             self.assertEqual(self.platform.submit(number % NODES, job, ITEMS), 202)
         self.assertEqual(self.platform.submit(0, WAITING_JOB, ITEMS, prefix="/later/"), 202)
-        self.platform.faults(self.platform.store, drop_history=True)
+        self.platform.set_faults(self.platform.store, drop_history=True)
 
     # The loss.
 
@@ -88,13 +87,14 @@
         return sum(len(re.findall(r"\b%s\b" % event, self.log_of(node))) for node in range(NODES))
 
     def recover(self):
-        """Starts all nodes and waits until each open item has reached a runner."""
-        self.turn_away(False)
+        """Starts all nodes and waits until each open item has run."""
+        self.set_runners_rejecting(False)
         before = {event: self.count(event) for event in COUNTED_EVENTS}
         read_before = [link.back.bytes for link in self.store_links]
         self.start_all()
         try:
-            wait_for(lambda: not self.missing(), "the open items to run", GIVE_UP_SECONDS)
+            wait_for(lambda: not self.missing(), "the open items to run",
+                     COMPLETION_TIMEOUT_SECONDS)
         except TimeoutError:
             pass
         missing = self.missing()
@@ -105,10 +105,10 @@
         print("%s: %s" % (self.id().rsplit(".", 1)[1], json.dumps(figures)), flush=True)
         self.assertEqual(missing, [], figures)
         self.check_bytes(read)
-        self.check_promises()
+        self.check_results()
 
     def missing(self):
-        """The open items that no runner has run."""
+        """Returns the open items that no runner has run."""
         runs = set()
         for address in self.platform.runners.values():
             runs.update(call_json(address, "GET", "/admin/runs")[1])
@@ -119,12 +119,12 @@
         return ["%s-%d" % (job, index) for index in range(ITEMS)]
 
     def check_bytes(self, read):
-        """What was read has to do with what is open, not with all that ever was."""
+        """Checks that the bytes read are proportional to the open requests, not to all jobs."""
         open_bytes = (OPEN_JOBS + 1) * ITEMS * LARGE_SIZES.body_bytes
-        most = READS_OF_AN_OPEN_REQUEST * open_bytes + self.starts * NODES * START_BYTES_OF_A_NODE
-        self.assertLessEqual(sum(read), most)
+        limit = MAX_READS_PER_OPEN_REQUEST * open_bytes + self.starts * NODES * START_BYTES_PER_NODE
+        self.assertLessEqual(sum(read), limit)
 
-    def check_promises(self):
+    def check_results(self):
         for number, job in enumerate(self.open_jobs):
             results = self.platform.wait_results(number % NODES, job, ITEMS)
             self.assertEqual(sorted(result["id"] for result in results),
@@ -139,31 +139,31 @@
                 self.assertEqual(self.platform.item_body(node, WAITING_JOB, index),
                                  (200, LARGE_SIZES.item_body(index)))
 
-    # The moments at which it happens.
+    # Times at which the nodes are killed.
 
     def test_all_nodes_are_killed_at_once(self):
-        self.fill()
+        self.prepare_jobs()
         self.kill_all()
         self.recover()
 
-    def test_all_nodes_are_killed_again_while_they_take_up_their_jobs(self):
-        self.fill()
+    def test_all_nodes_are_killed_again_while_they_load_their_jobs(self):
+        self.prepare_jobs()
         self.kill_all()
         started = self.count("job_started")
         self.start_all()
-        wait_for(lambda: self.count("job_started") > started, "jobs to be taken up")
+        wait_for(lambda: self.count("job_started") > started, "jobs to be started")
         self.kill_all()
         self.recover()
 
-    def test_all_nodes_are_killed_during_a_planned_stop(self):
-        self.fill()
+    def test_all_nodes_are_killed_during_a_graceful_shutdown(self):
+        self.prepare_jobs()
         self.platform.node_processes[0].handle.send_signal(signal.SIGTERM)
         wait_for(lambda: call(self.platform.ready[0], "GET", "/api/ready")[0] == 503, "the stop")
         self.kill_all()
         self.recover()
 
     def test_all_nodes_are_killed_while_slots_move(self):
-        self.fill()
+        self.prepare_jobs()
         process = self.platform.node_processes[2]
         self.assertEqual(process.stop(), 0)
         changes = self.count("slots_changed")
--- a/tests/system/result_writes_test.py
+++ b/tests/system/result_writes_test.py
@@ -1,16 +1,16 @@
-"""Results that could not be written while the store was away are written once it is back.
+"""Tests that results held back during a store outage are written once the store is back.
 
-A node keeps the results of what it has run while the store refuses all calls, and writes them
-together afterwards: each job's partition by itself, all at the same time, each append with 1 s and
-tried again as it was. On a link that does not carry all of them in about a second none came through,
-and nothing else did, the node's own membership among it:
+During the outage a node keeps the results of the items it runs. Guards against congestion collapse
+afterwards: appends to all partitions started at once, each with a timeout of 1 s, and were retried
+unchanged. On a link that cannot transfer them in about a second every append timed out, and so did
+all other calls, including the renewal of the node's membership:
 
     store_traffic  calls=62  time_outs=62  append:job-results=49/11996448/0/49  join:job-workers=3/834/0/3
     items_open     items=363  stages=writing_result=363/63.62
 
-That was one node behind 10 Mbit/s with 320 results of 12 kB: of 400 items 37 were listed in 60 s; on
-30 Mbit/s all were. Of two nodes with 320 results each the one behind 10 Mbit/s listed none in 90 s
-and sent 117 MB, where all of its results are 4 MB.
+One node behind 10 Mbit/s with 320 results of 12 kB listed 37 of 400 items in 60 s; behind 30 Mbit/s
+it listed all. Of two nodes with 320 results each, the one behind 10 Mbit/s listed none in 90 s and
+sent 117 MB, although its results total 4 MB.
 """
 
 import time
@@ -19,15 +19,15 @@
 from narrow_links import NarrowLinksTest
 from fleet import call_json, wait_for
 
-# The share of one of six nodes in 60 Mbit/s, which all nodes of a region have to the store.
+# One sixth of the 60 Mbit/s to the store that the six nodes of a region share.
 LINK_BYTES_PER_SECOND = 10e6 / 8
-# Half of them are of the node behind that link, more than it runs at a time.
+# The node behind that link owns half of them, which is more than it runs at a time.
 JOBS = 40
 ITEMS = 20
-# No item begins in so long: all that can be run without the store has been.
+# If no item starts in this time, everything that can run without the store has run.
 QUIET_SECONDS = 4.0
-# Nothing more is expected after this time; the link could carry all results 20 times.
-GIVE_UP_SECONDS = 90.0
+# In this time the link could transfer all results 20 times.
+COMPLETION_TIMEOUT_SECONDS = 90.0
 
 
 class ResultWritesTest(NarrowLinksTest):
@@ -37,18 +37,18 @@
         super().setUp()
         self.jobs = ["job%d" % number for number in range(JOBS)]
 
-    def take_up_jobs(self):
-        """All jobs are accepted and read; no runner has run any item yet."""
+    def load_jobs(self):
+        """Has all jobs accepted and loaded while runners reject every item."""
         self.bring_up()
-        self.turn_away(True)
+        self.set_runners_rejecting(True)
         for number, job in enumerate(self.jobs):
             self.assertEqual(self.platform.submit(number % 2, job, ITEMS), 202)
         time.sleep(QUIET_SECONDS)
 
     def run_without_store(self):
-        """The store refuses all calls until no more items begin."""
-        self.platform.faults(self.platform.store, outage="busy")
-        self.turn_away(False)
+        """Starts a store outage and waits until no more items start; returns the items run."""
+        self.platform.set_faults(self.platform.store, outage="busy")
+        self.set_runners_rejecting(False)
         runs, before = self.runs(), -1
         while runs > before:
             time.sleep(QUIET_SECONDS)
@@ -59,8 +59,8 @@
         return sum(len(call_json(address, "GET", "/admin/runs")[1])
                    for address in self.platform.runners.values())
 
-    def listed_of(self, job):
-        """The items of a job that are listed, read on to the end: a page may hold a part of them."""
+    def count_listed(self, job):
+        """Counts the listed items of a job over all of its result pages."""
         listed = 0
         while True:
             results = self.platform.results(1, job, listed)[1].get("results")
@@ -69,16 +69,16 @@
             listed += len(results)
 
     def listed(self):
-        """The items that are listed, as the node with a wide link tells them."""
-        return sum(self.listed_of(job) for job in self.jobs)
+        """Counts the listed items of all jobs at the node without a rate limit."""
+        return sum(self.count_listed(job) for job in self.jobs)
 
     def test_all_results_are_listed(self):
-        self.take_up_jobs()
+        self.load_jobs()
         runs = self.run_without_store()
         link = self.store_links[0]
         link.bound(LINK_BYTES_PER_SECOND)
         before = link.forward.bytes
-        self.platform.faults(self.platform.store, outage="")
+        self.platform.set_faults(self.platform.store, outage="")
         counts = []
 
         def all_are_listed():
@@ -86,7 +86,7 @@
             return counts[-1] == JOBS * ITEMS
 
         try:
-            wait_for(all_are_listed, "all results", GIVE_UP_SECONDS)
+            wait_for(all_are_listed, "all results", COMPLETION_TIMEOUT_SECONDS)
         except TimeoutError:
             pass
         listed = counts[-1]
--- a/tests/system/runner_speed_path_test.py
+++ b/tests/system/runner_speed_path_test.py
@@ -1,6 +1,6 @@
-"""Runners of uneven speed that say how slow their machines are, with real processes.
+"""Tests runner selection among runners of different speed that report their slowness.
 
-Nothing is asserted about how long a step takes.
+No test asserts how long a step takes.
 """
 
 import json
@@ -11,7 +11,7 @@
 from platform_fleet import Platform, stream_text
 from fleet import call, call_json, wait_for
 
-ASKED = 60
+REQUESTS = 60
 GAP_MS = 20
 
 
@@ -22,7 +22,7 @@
         self.addCleanup(self.directory.cleanup)
         self.addCleanup(self.platform.stop)
         for name in self.platform.runners:
-            self.platform.list_runner(name)
+            self.platform.register_runner(name)
         self.platform.configure(1)
         self.platform.wait_ready()
 
@@ -32,13 +32,13 @@
             self.assertEqual((status, body.decode()), (200, stream_text("q")))
 
     def lines(self, node, name):
-        """Lines of an event in a node's log."""
+        """Returns the entries of an event in a node's log."""
         text = pathlib.Path(self.directory.name, "node%d.log" % node).read_text()
         entries = [json.loads(line) for line in text.splitlines() if line.startswith("{")]
         return [entry for entry in entries if entry["name"] == name]
 
     def slow_runners(self, node):
-        """Runners that a node now takes to be slow."""
+        """Returns how many runners a node currently considers slow."""
         page = call(self.platform.ready[node], "GET", "/metrics")[2].decode()
         return sum(float(line.split()[-1]) for line in page.splitlines()
                    if line.startswith("stoathold_runners_slow{"))
@@ -46,21 +46,21 @@
     def runs(self, name):
         return len(call_json(self.platform.runners[name], "GET", "/admin/runs")[1])
 
-    def test_a_runner_that_takes_four_times_as_long_gets_the_smaller_part(self):
+    def test_runner_four_times_slower_gets_fewer_requests(self):
         options = ["--gap-ms", GAP_MS, "--reports-slowness"]
         self.start(r0=options, r1=options + ["--time-percent", 400])
-        self.ask(0, "learn", ASKED)
+        self.ask(0, "learn", REQUESTS)
         before = self.runs("r1")
-        self.ask(0, "known", ASKED)
-        self.assertLess(self.runs("r1") - before, ASKED / 4)
+        self.ask(0, "known", REQUESTS)
+        self.assertLess(self.runs("r1") - before, REQUESTS / 4)
 
-    def test_the_reported_slowness_is_heeded_at_all_nodes(self):
+    def test_reported_slowness_is_used_by_all_nodes(self):
         options = ["--reports-slowness"]
         self.start(r0=options, r1=options)
         for address in self.platform.runners.values():
-            self.platform.faults(address, slowness_percent=250)
-        # The others are not asked anything: they hear it from the node that was. Of a runner that
-        # was not asked yet nobody has heard, and node 1 may choose that one.
+            self.platform.set_faults(address, slowness_percent=250)
+        # Only node 0 gets requests; the other nodes learn the slowness from it. The slowness of a
+        # runner without requests is unknown and node 1 could choose it, so both must be known.
         wait_for(lambda: self.ask(0, "q%d" % self.runs("r0"), 1) or (
             self.slow_runners(1) == 2 and all(
                 self.lines(node, "slowness_reported") for node in range(3))), "all nodes to know")
@@ -73,19 +73,19 @@
         self.assertIn('stoathold_runner_slowness_max{service="chat"}', page)
         self.assertIn("stoathold_first_event_expected_seconds_count", page)
 
-    def test_false_figures_harm_nobody(self):
+    def test_invalid_slowness_is_rejected(self):
         options = ["--reports-slowness"]
         self.start(r0=options, r1=options)
-        for index, lie in enumerate(["0", "-100", "1000000000", "slow", " "]):
+        for index, value in enumerate(["0", "-100", "1000000000", "slow", " "]):
             for address in self.platform.runners.values():
-                self.platform.faults(address, false_slowness=lie)
+                self.platform.set_faults(address, false_slowness=value)
             self.ask(0, "lie%d-" % index, 10)
         wait_for(lambda: self.lines(0, "slowness_refused"), "the refusal to be logged")
-        # Now and then, not with each of the answers; and no figure was taken for a true one.
+        # Logged at a limited rate, not for each response, and no false value is accepted.
         self.assertLess(len(self.lines(0, "slowness_refused")), 10)
         self.assertEqual(self.lines(0, "slowness_reported"), [])
 
-    def test_without_a_fourth_figure_runners_are_chosen_by_load(self):
+    def test_runners_without_reported_slowness_are_chosen_by_load(self):
         self.start()
         self.ask(0, "q", 10)
         wait_for(lambda: self.lines(0, "request_sent"), "a choice to be logged")
--- a/tests/system/stale_denial_path_test.py
+++ b/tests/system/stale_denial_path_test.py
@@ -1,8 +1,8 @@
-"""A node denies nothing by a configuration that may have been replaced, with real processes.
+"""Tests that a node never answers 404 from a configuration that may be outdated.
 
-Nodes that run lose touch with the store: their answers are lost, or they are suspended. Meanwhile a
-version adds a route. Until a node has it, a request for the route may be refused as not run, so
-that its caller comes again, and is never denied.
+Running nodes lose contact with the store, because its responses are lost or the node is suspended,
+while a new version adds a route. Until a node has that version it may reject requests for the route
+as not run (503 with Retry-After), so that clients retry, but must not deny them with 404.
 """
 
 import threading
@@ -15,9 +15,9 @@
 from fleet import call, wait_for
 
 NODES = 3
-# Longer than a confirmation by the store counts.
+# Longer than a confirmation by the store stays valid.
 STALE_SECONDS = 1.0
-ASKED_TIMES = 20
+REQUESTS = 20
 
 
 class StaleDenialPathTest(NarrowLinksTest):
@@ -27,7 +27,7 @@
     def setUp(self):
         super().setUp()
         self.bring_up([route("old")])
-        # Nodes know one another by the digests of each.
+        # Gives the nodes time to learn of one another from their digests.
         self.platform.ask(0, "warm-up")
         time.sleep(STALE_SECONDS)
 
@@ -40,16 +40,16 @@
             self.assertGreater(float(answer_headers["Retry-After"]), 0)
         return status
 
-    def publish_unnoticed(self, nodes):
-        """The store falls silent to some nodes, and then a route is added."""
+    def publish_while_silenced(self, nodes):
+        """Silences the store links of some nodes and then publishes a version with a new route."""
         for node in nodes:
             self.store_links[node].silence()
         self.platform.configure(2, [route("old"), route("new")])
         time.sleep(STALE_SECONDS)
 
-    def test_a_node_that_the_store_does_not_answer_denies_nothing(self):
-        self.publish_unnoticed(range(NODES))
-        for _ in range(ASKED_TIMES):
+    def test_node_without_store_responses_never_answers_404(self):
+        self.publish_while_silenced(range(NODES))
+        for _ in range(REQUESTS):
             self.assertEqual(self.ask(0, "new"), 503)
             self.assertEqual(self.ask(0, "never-there"), 503)
         self.assertEqual(self.ask(0, "old"), 200)
@@ -59,29 +59,29 @@
             wait_for(lambda n=node: self.ask(n, "new") == 200, "the new route")
             wait_for(lambda n=node: self.ask(n, "never-there") == 404, "a denial")
 
-    def test_another_node_brings_what_the_store_does_not(self):
-        self.publish_unnoticed([0])
-        answers = {self.ask(0, "new") for _ in range(ASKED_TIMES)}
+    def test_configuration_arrives_through_another_node(self):
+        self.publish_while_silenced([0])
+        answers = {self.ask(0, "new") for _ in range(REQUESTS)}
         self.assertLessEqual(answers, {200, 503})
         wait_for(lambda: self.ask(0, "new") == 200, "the new route")
         wait_for(lambda: self.ask(0, "never-there") == 404, "a denial")
 
-    def test_a_node_that_was_suspended_denies_nothing_by_what_it_knew(self):
+    def test_resumed_node_does_not_answer_404_from_old_configuration(self):
         process = self.platform.node_processes[0]
-        process.freeze()
+        process.suspend()
         self.platform.configure(2, [route("old"), route("new")])
         time.sleep(STALE_SECONDS)
         answers = []
-        callers = [threading.Thread(target=lambda: answers.append(self.ask(0, "new")))
-                   for _ in range(ASKED_TIMES)]
-        for caller in callers:
-            caller.start()
+        clients = [threading.Thread(target=lambda: answers.append(self.ask(0, "new")))
+                   for _ in range(REQUESTS)]
+        for client in clients:
+            client.start()
         time.sleep(0.2)
-        process.wake()
-        for caller in callers:
-            caller.join()
+        process.resume()
+        for client in clients:
+            client.join()
         self.assertLessEqual(set(answers), {200, 503})
-        self.assertEqual(len(answers), ASKED_TIMES)
+        self.assertEqual(len(answers), REQUESTS)
 
 
 if __name__ == "__main__":
--- a/tests/system/starting_nodes_path_test.py
+++ b/tests/system/starting_nodes_path_test.py
@@ -1,9 +1,9 @@
-"""Nodes that have just started answer by the newest configuration, with real processes.
+"""Tests that restarted nodes answer from the newest configuration only.
 
-Nodes denied a route that the operator had added, since they put each version of the history in
-force as they read it. Here the store holds many large versions, and all nodes end right after the
-last one is acknowledged and come back behind narrow links, once and twice. Callers ask for a route
-that the last version added and for one that it dropped, from the first moment on.
+Guards against nodes that apply each version of the history while they read it, and so answer 404
+for a route that a later version adds. The store holds many large versions; all nodes are killed
+right after the last one is acknowledged, once or twice, and restart behind links of 30 Mbit/s. From
+the start on, clients request a route that the last version added and one that it removed.
 """
 
 import threading
@@ -14,16 +14,16 @@
 from platform_fleet import HOST
 from fleet import call
 
-# 30 Mbit/s, of each node to the store.
+# 30 Mbit/s from each node to the store.
 LINK_BYTES_PER_SECOND = 30e6 / 8
 NODES = 3
 VERSIONS = 30
-# Some 400 kB.
-ROUTES_OF_A_VERSION = 1400
-# From the first answer of each node on.
-ASKED_FOR_SECONDS = 3.0
+# About 400 kB per version.
+ROUTES_PER_VERSION = 1400
+# How long requests continue after a node becomes ready.
+REQUEST_SECONDS = 3.0
 READY_SECONDS = 60.0
-ASK_EVERY_SECONDS = 0.02
+REQUEST_INTERVAL_SECONDS = 0.02
 
 
 def route(name):
@@ -32,11 +32,11 @@
             "session_affinity": True, "resumable": True, "gap_target_ms": 5000}
 
 
-IDLE_ROUTES = [route("idle-%d" % number) for number in range(ROUTES_OF_A_VERSION)]
+IDLE_ROUTES = [route("idle-%d" % number) for number in range(ROUTES_PER_VERSION)]
 
 
-class Callers:
-    """Ask one node for some routes until they are stopped; count answers by route and status."""
+class RouteClient:
+    """Requests some routes of one node in a loop and counts responses by route and status."""
 
     def __init__(self, platform, node, names):
         self.platform = platform
@@ -53,10 +53,10 @@
         while time.monotonic() < until:
             if self.ready_after is None and self.is_ready():
                 self.ready_after = time.monotonic() - start
-                until = time.monotonic() + ASKED_FOR_SECONDS
+                until = time.monotonic() + REQUEST_SECONDS
             for name in self.names:
                 self.ask(name)
-            time.sleep(ASK_EVERY_SECONDS)
+            time.sleep(REQUEST_INTERVAL_SECONDS)
 
     def is_ready(self):
         try:
@@ -91,7 +91,7 @@
         self.version += 1
         self.platform.configure(self.version, [route(name)] + IDLE_ROUTES)
 
-    def lose_all_nodes(self):
+    def restart_all_nodes(self):
         for process in self.platform.node_processes:
             process.handle.kill()
         for link in self.store_links:
@@ -101,34 +101,34 @@
             process.start()
 
     def ask_all(self, added, dropped):
-        """Returns what each node answered about both routes."""
-        callers = [Callers(self.platform, node, [added, dropped]) for node in range(NODES)]
-        for each in callers:
-            each.thread.join(READY_SECONDS + 3 * ASKED_FOR_SECONDS)
-        return callers
-
-    def check(self, callers, added, dropped):
-        for each in callers:
+        """Requests both routes at all nodes; returns the finished clients."""
+        clients = [RouteClient(self.platform, node, [added, dropped]) for node in range(NODES)]
+        for each in clients:
+            each.thread.join(READY_SECONDS + 3 * REQUEST_SECONDS)
+        return clients
+
+    def check(self, clients, added, dropped):
+        for each in clients:
             print("node %d, ready after %s s: %s" % (each.node, each.ready_after, each.answers),
                   flush=True)
-        for each in callers:
+        for each in clients:
             self.assertIsNotNone(each.ready_after)
             self.assertNotIn(404, each.answers[added], "the route that was added")
             self.assertNotIn(200, each.answers[dropped], "the route that was dropped")
             self.assertIn(200, each.answers[added])
             self.assertIn(404, each.answers[dropped])
 
-    def test_after_a_loss_of_all_nodes_none_answers_by_a_version_replaced_before(self):
+    def test_restarted_nodes_never_answer_from_a_replaced_version(self):
         self.publish("new")
-        self.lose_all_nodes()
+        self.restart_all_nodes()
         self.check(self.ask_all("new", "old"), "new", "old")
 
-    def test_nor_after_a_second_loss_right_after_the_next_change(self):
+    def test_second_restart_right_after_the_next_change(self):
         self.publish("new")
-        self.lose_all_nodes()
+        self.restart_all_nodes()
         time.sleep(0.3)
         self.publish("newer")
-        self.lose_all_nodes()
+        self.restart_all_nodes()
         self.check(self.ask_all("newer", "new"), "newer", "new")
 
 
--- a/tests/system/system_test.py
+++ b/tests/system/system_test.py
@@ -1,6 +1,6 @@
-"""The promises against real processes: kills, freezes, outages, lost answers, races, planned stops.
+"""Fault tests with real processes: kills, suspensions, outages, lost responses, races, shutdowns.
 
-Steps wait for events and are bounded by counts; nothing is asserted about how long a step takes.
+Steps wait for events and are bounded by counts; no test asserts how long a step takes.
 """
 
 import http.client
@@ -35,7 +35,7 @@
 
 
 def results_of(address, job):
-    """All results by index; asks again where a page is refused for the moment."""
+    """Returns all results by index; retries pages that are temporarily unavailable."""
     results, after = {}, 0
     while True:
         status, page = call_json(address, "GET",
@@ -50,7 +50,7 @@
 
 
 def executions(fleet):
-    """How often each request body was run, over all engines."""
+    """Returns how often each request body was executed, over all engines."""
     total = {}
     for address in fleet.engines:
         for key, count in call_json(address, "GET", "/admin/executions")[1].items():
@@ -59,7 +59,7 @@
 
 
 class SystemTest(unittest.TestCase):
-    """Each test has a fleet of its own."""
+    """Runs each test on its own fleet."""
 
     def setUp(self):
         self.directory = tempfile.TemporaryDirectory()
@@ -67,7 +67,7 @@
 
     def fleet(self, **options):
         fleet = Fleet(self.directory.name, **options)
-        self.addCleanup(fleet.end)
+        self.addCleanup(fleet.stop)
         fleet.start()
         fleet.apply_service()
         return fleet
@@ -75,28 +75,28 @@
     def complete(self, address, job):
         wait_for(lambda: status_of(address, job) == "completed", "the job to complete", 90)
 
-    def test_a_frozen_owner_is_replaced_and_its_return_changes_nothing(self):
+    def test_suspended_owner_is_replaced_and_its_return_changes_nothing(self):
         fleet = self.fleet()
         jobs = []
         for number in range(6):
             status, body = submit(fleet.node_http[0], "freeze-%d" % number, 20)
             self.assertEqual(status, 200, body)
             jobs.append(body["id"])
-        fleet.processes["node-1"].freeze()
+        fleet.processes["node-1"].suspend()
         for job in jobs:
             self.complete(fleet.node_http[0], job)
         before = {job: results_of(fleet.node_http[0], job) for job in jobs}
-        fleet.processes["node-1"].wake()
+        fleet.processes["node-1"].resume()
         fleet.wait_ready(1)
         for job in jobs:
             self.assertEqual(len(before[job]), 20)
             wait_for(lambda j=job: status_of(fleet.node_http[1], j) == "completed", "the status")
             self.assertEqual(results_of(fleet.node_http[1], job), before[job])
 
-    def test_without_the_log_online_goes_on_and_jobs_are_refused_as_not_run(self):
+    def test_log_outage_keeps_online_requests_served_and_rejects_jobs_as_not_run(self):
         fleet = self.fleet()
-        fleet.fault(fleet.log, outage=True)
-        self.addCleanup(lambda: fleet.fault(fleet.log, outage=False))
+        fleet.set_faults(fleet.log, outage=True)
+        self.addCleanup(lambda: fleet.set_faults(fleet.log, outage=False))
         status, _ = call_json(fleet.node_http[0], "POST", "/v1/chat/completions", chat_body("q"))
         self.assertEqual(status, 200)
 
@@ -104,13 +104,13 @@
             _, body = submit(fleet.node_http[0], "outage", 5)
             return body["error"]["execution"] == "not_run" and body["error"]["retry_after_ms"] > 0
 
-        wait_for(refused, "the outage to be known", 60)
-        fleet.fault(fleet.log, outage=False)
-        wait_for(lambda: submit(fleet.node_http[0], "outage", 5)[0] == 200, "the log's return", 60)
+        wait_for(refused, "the outage to be detected", 60)
+        fleet.set_faults(fleet.log, outage=False)
+        wait_for(lambda: submit(fleet.node_http[0], "outage", 5)[0] == 200, "the log to return", 60)
 
-    def test_lost_answers_make_neither_two_jobs_nor_a_lost_one(self):
+    def test_lost_log_responses_neither_duplicate_nor_lose_a_job(self):
         fleet = self.fleet()
-        fleet.fault(fleet.log, lose_answers=3)
+        fleet.set_faults(fleet.log, lose_answers=3)
         outcomes = []
 
         def one(address):
@@ -127,7 +127,7 @@
         self.complete(fleet.node_http[1], job)
         self.assertEqual(len(results_of(fleet.node_http[1], job)), 10)
 
-    def test_of_racing_operators_one_wins_and_the_other_gets_a_conflict(self):
+    def test_concurrent_updates_have_one_winner_and_conflicts(self):
         fleet = self.fleet(engines=1)
         for attempt in range(5):
             outcomes = []
@@ -144,7 +144,7 @@
                 thread.join()
             self.assertEqual(sorted(status for status, _ in outcomes), [200, 409, 409])
 
-    def test_a_planned_stop_cuts_off_nothing(self):
+    def test_graceful_shutdown_completes_open_streams(self):
         fleet = self.fleet()
         expected = {}
         for i in range(12):
@@ -179,14 +179,14 @@
         fleet = self.fleet(engines=2)
         unsafe = {"X-Unsafe-To-Repeat": "true"}
         for address in fleet.engines:
-            fleet.fault(address, break_after_tokens=2)
+            fleet.set_faults(address, break_after_tokens=2)
         status, body = call_json(fleet.node_http[0], "POST", "/v1/chat/completions",
                                  chat_body("unsafe once"), unsafe)
         self.assertGreaterEqual(status, 500)
         self.assertEqual(body["error"]["execution"], "unknown")
         self.assertEqual(list(executions(fleet).values()), [1])
         for address in fleet.engines:
-            fleet.fault(address, break_after_tokens=0)
+            fleet.set_faults(address, break_after_tokens=0)
         outcomes = []
 
         def ask(address):
@@ -204,14 +204,14 @@
 
     def test_a_leaving_engine_gets_no_new_work(self):
         fleet = self.fleet(engines=3)
-        fleet.fault(fleet.engines[0], leaving=True)
+        fleet.set_faults(fleet.engines[0], leaving=True)
 
         def known_everywhere():
             return all(runner["leaving"] for address in fleet.node_http
                        for runner in call_json(address, "GET", "/v1/runners")[1]["items"]
                        if runner["name"] == "runner-0")
 
-        wait_for(known_everywhere, "every node to know of the leaving engine")
+        wait_for(known_everywhere, "every node to see the leaving engine")
         before = call_json(fleet.engines[0], "GET", "/admin/executions")[1]
         for i in range(60):
             status, _ = call_json(fleet.node_http[i % 3], "POST", "/v1/chat/completions",
@@ -219,13 +219,13 @@
             self.assertEqual(status, 200)
         self.assertEqual(call_json(fleet.engines[0], "GET", "/admin/executions")[1], before)
 
-    def test_an_answer_is_whole_although_engines_break_off(self):
+    def test_response_is_complete_although_engines_break_off(self):
         fleet = self.fleet(engines=3)
         _, _, content = call(fleet.engines[0], "POST", "/v1/chat/completions",
                              chat_body("whole", True, 40))
         expected = read_events(content)[0]
-        fleet.fault(fleet.engines[0], break_after_tokens=5)
-        fleet.fault(fleet.engines[1], break_after_tokens=9)
+        fleet.set_faults(fleet.engines[0], break_after_tokens=5)
+        fleet.set_faults(fleet.engines[1], break_after_tokens=9)
         _, _, content = call(fleet.node_http[0], "POST", "/v1/chat/completions",
                              chat_body("whole", True, 40))
         texts, finished, error = read_events(content)
@@ -235,10 +235,10 @@
         fleet = self.fleet()
         body = chat_body("resume", True, 30)
         _, _, content = call(fleet.node_http[0], "POST", "/v1/chat/completions", body)
-        whole = read_events(content)[0]
+        complete = read_events(content)[0]
         _, _, content = call(fleet.node_http[1], "POST", "/v1/chat/completions", body,
                              {"Last-Event-ID": "6"})
-        self.assertEqual(read_events(content)[0], whole[6:])
+        self.assertEqual(read_events(content)[0], complete[6:])
 
     def test_a_cancelled_job_stops(self):
         fleet = self.fleet(engines=1)
@@ -258,8 +258,8 @@
 
     def test_a_node_cut_off_from_the_log_loses_its_shards_to_others(self):
         fleet = Fleet(self.directory.name)
-        self.addCleanup(fleet.end)
-        fleet.start_stand_ins()
+        self.addCleanup(fleet.stop)
+        fleet.start_emulators()
         link, admin = ("127.0.0.1:%d" % port for port in free_ports(2))
         fleet.start_process("link", [BUILD / "apps" / "stoathold-emulator", "link", "--listen",
                                      link, "--target", fleet.log, "--admin-listen", admin])
--- a/tests/system/tenant_path_test.py
+++ b/tests/system/tenant_path_test.py
@@ -1,6 +1,6 @@
-"""Keys, tenants and limits with real processes: store, runners and nodes.
+"""Tests API keys, tenants and rate limits with real processes: store, runners and nodes.
 
-Steps wait for events and are bounded by counts; nothing is asserted about how long a step takes.
+Steps wait for events and are bounded by counts; no test asserts how long a step takes.
 """
 
 import pathlib
@@ -25,7 +25,7 @@
 
     def start(self, *tenants):
         for name in self.platform.runners:
-            self.platform.list_runner(name)
+            self.platform.register_runner(name)
         self.platform.configure(1, tenants=list(tenants))
         self.platform.wait_ready()
 
@@ -47,34 +47,34 @@
         wait_for(lambda: logs().count("caller_refused") >= 6, "the refusals in the logs")
         self.assertNotIn("secret-of-", logs())
 
-    def test_a_key_taken_away_is_refused_also_where_the_store_cannot_be_reached(self):
+    def test_revoked_key_is_rejected_even_without_store_access(self):
         self.start(tenant("alder", "first", "second"))
-        # Each node has heard of the others once a job was relayed.
-        self.platform.cut_off_store(0)
-        wait_for(lambda: self.platform.submit(0, "k1", key="first") == 202, "k1 to be taken")
+        # A relayed job shows that the node has discovered the others.
+        self.platform.disconnect_store(0)
+        wait_for(lambda: self.platform.submit(0, "k1", key="first") == 202, "k1 to be accepted")
         self.platform.configure(4, tenants=[tenant("alder", "second")])
         for node in range(3):
             wait_for(lambda n=node: self.ask(n, "first") == 401, "version 4 at node %d" % node)
             self.assertEqual(self.ask(node, "second"), 200)
-        # An older version that comes late changes nothing.
+        # An older version that arrives late has no effect.
         self.platform.configure(3, tenants=[tenant("alder", "first", "second")])
         for node in range(3):
             self.assertEqual(self.ask(node, "first"), 401)
 
-    def test_a_limit_holds_over_all_nodes_together(self):
-        # So slow a rate that only the burst counts.
+    def test_rate_limit_is_shared_by_all_nodes(self):
+        # The rate is so low that only the burst matters.
         self.start(tenant("alder", "first", rate=0.001, burst=30), tenant("birch", "other"))
         served = 0
         for attempt in range(150):
             status = self.ask(attempt % 3, "first")
             self.assertIn(status, (200, 429))
             served += status == 200
-        # What is admitted in the moment that a report takes goes over the limit once.
+        # Requests admitted before nodes have exchanged usage reports may exceed the limit once.
         self.assertGreaterEqual(served, 1)
         self.assertLessEqual(served, 40)
         self.assertEqual(self.ask(0, "other"), 200)
 
-    def test_jobs_are_seen_by_their_tenant_alone_and_outlive_their_key(self):
+    def test_jobs_are_visible_to_their_tenant_only_and_outlive_their_key(self):
         self.start(tenant("alder", "a1", "a2"), tenant("birch", "b1"))
         self.assertEqual(self.platform.submit(0, "k2", key="a1"), 202)
         self.platform.configure(2, tenants=[tenant("alder", "a2"), tenant("birch", "b1")])
