--- a/scripts/check-format.sh
+++ b/scripts/check-format.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fails if any C++ file is not formatted as .clang-format says. With --fix, formats them.
+# Fails if any C++ file is not formatted according to .clang-format. With --fix, formats all files.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t files < <(git ls-files --cached --others --exclude-standard '*.cc' '*.h')
--- a/scripts/check-layers.sh
+++ b/scripts/check-layers.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Fails if the product's core names anything of the users' platform: only platform/ may, and the
-# stand-ins and programs that put it together. Fails too if a source file has grown too long.
+# Fails if the core refers to the users' platform, which only platform/, the emulators and the programs
+# may do, if production code includes test tools, or if a source file exceeds the line limit.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 names='#include "platform/|Stoathold-|STOATHOLD_NODE_FILE|"keyed\.|/api/|log-append|log-read|log-newest|log-join|log-owners'
@@ -12,12 +12,12 @@
   echo "layers: the lines above include test tools"
   exit 1
 fi
-most_lines=400
+max_lines=400
 long_files=$(git ls-files 'src/*' 'platform/*' 'apps/*' 'emulator/*' 'bench/*' | xargs wc -l |
-  awk -v most="$most_lines" '$2 != "total" && $1 > most')
+  awk -v most="$max_lines" '$2 != "total" && $1 > most')
 if [ -n "$long_files" ]; then
   echo "$long_files"
-  echo "layers: the files above have more than $most_lines lines"
+  echo "layers: the files above have more than $max_lines lines"
   exit 1
 fi
 echo "layers: clean"
--- a/scripts/check-lint.sh
+++ b/scripts/check-lint.sh
@@ -3,7 +3,7 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=$1
-# The precompiled headers are GCC's: lint with a compilation database without them.
+# clang-tidy cannot read GCC's precompiled headers, so it uses a compilation database without them.
 lint_database=$build/lint
 cmake -S . -B "$lint_database" -G Ninja -DCMAKE_BUILD_TYPE=Release \
   -DCMAKE_DISABLE_PRECOMPILE_HEADERS=ON >/dev/null
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Shows the whole path: three nodes in three zones, four engines, a node killed in the middle.
+"""End-to-end demo: three nodes in three zones, four engines, and one node killed under load.
 
-Closes with `demo: online 60/60 whole, batch 200/200 exactly once` and exit code 0, or says what is
+Ends with `demo: online 60/60 whole, batch 200/200 exactly once` and exit code 0, or prints what is
 missing and exits with 1.
 """
 
@@ -22,12 +22,12 @@
 
 
 def say(text):
-    """Prints progress with the time since the start."""
+    """Prints a progress message with the time since the start."""
     print("demo: [%5.1f s] %s" % (time.monotonic() - STARTED, text), flush=True)
 
 
-def whole_answer(engine, prompt):
-    """Asks an engine directly: what a whole answer to the prompt is."""
+def complete_response(engine, prompt):
+    """Returns the complete response to a prompt, requested from an engine directly."""
     status, _, content = call(engine, "POST", "/v1/chat/completions", chat_body(prompt, True))
     assert status == 200
     texts, finished, _ = read_events(content)
@@ -36,7 +36,7 @@
 
 
 def ask(fleet, prompt, first_node):
-    """Asks for a streamed answer as a client would: goes on through another node if one is lost."""
+    """Streams a response as a client does: resumes through another node if one is lost."""
     received = []
     for attempt in range(ATTEMPTS):
         address = fleet.node_http[(first_node + attempt) % len(fleet.node_http)]
@@ -46,7 +46,7 @@
                                       chat_body(prompt, True), headers)
         except OSError:
             continue
-        except Exception:  # the node was killed in the middle of its answer
+        except Exception:  # The node was killed while it sent the response.
             continue
         if status != 200:
             time.sleep(0.1)
@@ -87,7 +87,7 @@
 
 def run_online(fleet, job_started, outcomes, lost):
     prompts = ["parent question %d" % index for index in range(ONLINE_REQUESTS)]
-    expected = [whole_answer(fleet.engines[0], prompt) for prompt in prompts]
+    expected = [complete_response(fleet.engines[0], prompt) for prompt in prompts]
     job_started.set()
     threads = []
 
@@ -109,7 +109,7 @@
 
 def main():
     with tempfile.TemporaryDirectory() as directory, Fleet(directory) as fleet:
-        say("starting stand-ins, three nodes in three zones, four engines")
+        say("starting emulators, three nodes in three zones, four engines")
         fleet.start()
         fleet.apply_service()
         say("service applied")
@@ -128,7 +128,7 @@
         results = batch_results(fleet, job)
         say("results read back through another node")
         whole = sum(1 for good in outcomes.values() if good)
-        expected = {index: "".join(whole_answer_of_item(fleet, index))
+        expected = {index: "".join(complete_item_response(fleet, index))
                     for index in range(BATCH_ITEMS)}
         once = sum(1 for index in range(BATCH_ITEMS) if results.get(index) == [expected[index]])
         print("demo: online %d/%d whole, batch %d/%d exactly once" %
@@ -141,8 +141,8 @@
         return 0
 
 
-def whole_answer_of_item(fleet, index):
-    """The answer to an item, from an engine directly."""
+def complete_item_response(fleet, index):
+    """Returns the response to an item, requested from an engine directly."""
     body = chat_body("enrolment note %d" % index, True, 16)
     _, _, content = call(fleet.engines[1], "POST", "/v1/chat/completions", body)
     return [text for _, text in read_events(content)[0]]
--- a/scripts/events_page.py
+++ b/scripts/events_page.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Writes the table of docs/EVENTS.md anew from the catalogue in src/base/event_catalogue.cc."""
+"""Regenerates the table of docs/EVENTS.md from the catalogue in src/base/event_catalogue.cc."""
 
 import pathlib
 import re
--- a/scripts/experiment.py
+++ b/scripts/experiment.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""What batch does to the online tail, and how much batch gets done: real processes, open loop.
+"""Measures the effect of batch load on online tail latency, and the batch throughput, in an open loop.
 
-Runs each seed with and without batch heaps on the same arrivals, one after the other, and reports
-the ratios. Scenarios: `mfs` (3 zones, 12 runners, heaps about every 8 s) and `tallowbend` (4 zones,
-18 runners, heaps about every 9 s).
+Runs each seed with and without batch jobs on the same online arrivals, one run after the other, and
+reports the ratios. Scenarios: `mfs` (3 zones, 12 runners, a job about every 8 s) and `tallowbend`
+(4 zones, 18 runners, a job about every 9 s).
 """
 
 import argparse
@@ -35,8 +35,8 @@
 ITEM_TOKENS = 48
 
 
-def submit_heaps(fleet, scenario, seed, seconds, stop):
-    """Submits a heap of items about every `heap_seconds`, through changing nodes."""
+def submit_batches(fleet, scenario, seed, seconds, stop):
+    """Submits a batch job about every `heap_seconds`, rotating over the nodes."""
     randomness = random.Random(seed)
     began, number = time.monotonic(), 0
     while not stop.is_set() and time.monotonic() - began < seconds:
@@ -50,7 +50,7 @@
 
 
 def counter(fleet, name):
-    """Sum of a counter over all nodes."""
+    """Returns the sum of a counter over all nodes."""
     total = 0.0
     for address in fleet.node_http:
         for line in call(address, "GET", "/metrics")[2].decode().splitlines():
@@ -69,10 +69,10 @@
             fleet.apply_service()
             time.sleep(3)
             stop = threading.Event()
-            heaps = threading.Thread(target=submit_heaps,
+            batch_submitter = threading.Thread(target=submit_batches,
                                      args=(fleet, scenario, seed, seconds, stop))
             if with_batch:
-                heaps.start()
+                batch_submitter.start()
             names = ("finished", "started", "yielded")
             before = {n: counter(fleet, "stoathold_batch_%s_total" % n) for n in names}
             result = subprocess.run(
@@ -84,7 +84,7 @@
             after = {n: counter(fleet, "stoathold_batch_%s_total" % n) for n in names}
             stop.set()
             if with_batch:
-                heaps.join()
+                batch_submitter.join()
             outcome = json.loads(result.stdout)
             outcome["batch"] = {n: after[n] - before[n] for n in names}
             return outcome
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -16,10 +16,10 @@
 
 
 def free_ports(count):
-    """Returns ports that were free a moment ago.
+    """Returns ports that are currently unused.
 
-    They lie below the range from which the system takes ports of outgoing connections: a process
-    that is started again must find its port as it left it.
+    They lie below the ephemeral port range, so that no outgoing connection takes the port of a
+    process between its stop and its restart.
     """
     first, end = 20000, 32000
     chosen = []
@@ -55,7 +55,7 @@
 
 
 def wait_for(condition, what, timeout_seconds=START_TIMEOUT_SECONDS):
-    """Waits until condition() is true; raises with `what` if it does not become so."""
+    """Waits until condition() is true; raises TimeoutError naming `what` on timeout."""
     end = time.monotonic() + timeout_seconds
     while time.monotonic() < end:
         try:
@@ -64,18 +64,18 @@
         except (OSError, http.client.HTTPException, ValueError):
             pass
         time.sleep(0.05)
-    raise TimeoutError("waited in vain for " + what)
+    raise TimeoutError("timed out waiting for " + what)
 
 
 class Process:
-    """One process of the fleet, its log kept in a file."""
+    """One process of the fleet with its log file."""
 
     def __init__(self, name, arguments, log_directory):
         self.name = name
         self.arguments = [str(item) for item in arguments]
         self.log_path = pathlib.Path(log_directory) / (name + ".log")
         self.handle = None
-        self.started_at = None  # No later than the process' first step; of the monotonic clock.
+        self.started_at = None  # Monotonic time taken just before the process is created.
         self.start()
 
     def start(self):
@@ -84,7 +84,7 @@
             self.handle = subprocess.Popen(self.arguments, stdout=log, stderr=log)
 
     def kill(self):
-        """SIGKILL: the process is gone at once."""
+        """Kills the process with SIGKILL and waits for it."""
         if self.handle.poll() is None:
             self.handle.kill()
         self.handle.wait()
@@ -96,13 +96,13 @@
         self.handle.send_signal(signal.SIGCONT)
 
     def stop(self, timeout_seconds=40.0):
-        """SIGTERM: a planned stop; returns the exit code."""
+        """Shuts the process down gracefully with SIGTERM; returns the exit code."""
         self.handle.terminate()
         return self.handle.wait(timeout_seconds)
 
 
 class Fleet:
-    """Stand-ins, nodes and engines. Nodes are spread over `zones` in turn, and so are engines."""
+    """Emulators, nodes and engines; nodes and engines are spread over `zones` round robin."""
 
     def __init__(self, directory, nodes=3, engines=4, zones=3, engine_parameters=None):
         self.directory = pathlib.Path(directory)
@@ -151,7 +151,7 @@
         return self.start_process("engine-%d" % index, arguments)
 
     def publish_machines(self):
-        """Sets the platform's machine list."""
+        """Publishes the machine list of the platform."""
         machines = []
         for index, address in enumerate(self.node_peer):
             machines.append({"role": "node", "name": "node-%d" % index, "region": "region-1",
@@ -207,7 +207,7 @@
         return self.processes["node-%d" % self.node_http.index(http_address)]
 
     def set_faults(self, address, **faults):
-        """Switches faults of a stand-in."""
+        """Sets faults of an emulator."""
         status, _, _ = call(address, "POST", "/admin/faults", faults)
         assert status == 200
 
@@ -245,7 +245,7 @@
 
 
 def read_events(content):
-    """Splits a server-sent event answer into (texts, finished, error or None)."""
+    """Parses a server-sent event response into (texts, finished, error or None)."""
     texts, finished, error = [], False, None
     for event in content.decode().split("\n\n"):
         lines = dict(line.split(": ", 1) for line in event.split("\n") if ": " in line)
--- a/scripts/install-dependencies.sh
+++ b/scripts/install-dependencies.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what building and testing needs, from Debian 12's own packages. Run as root.
+# Installs the build and test dependencies from the Debian 12 repositories. Run as root.
 set -euo pipefail
 packages=(
   cmake ninja-build ccache g++ git make python3
--- a/scripts/relay.py
+++ b/scripts/relay.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Streams through a node against the same streams through a bare pass-through, in one run.
+"""Compares the relay overhead of a node with that of a plain HTTP pass-through.
 
-Prints a Markdown table: tokens per second of the relay's processor time, as a ratio in pairs, and
-the time to the first token at a low load. Several rounds in turn, so that a drifting machine hurts
-both alike.
+Prints a Markdown table with tokens per second of CPU time, as paired ratios, and the time to the
+first token at low load. The rounds alternate between both, so that drift of the machine's speed
+affects them equally.
 """
 
 import argparse
@@ -18,8 +18,8 @@
 BENCH = BUILD / "bench" / "stoathold-bench"
 
 
-def cpu_of(process):
-    """Processor seconds that a process has used."""
+def cpu_seconds(process):
+    """Returns the CPU seconds that a process has used."""
     with open("/proc/%d/stat" % process.handle.pid, encoding="ascii") as stat:
         fields = stat.read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / 100.0
@@ -52,10 +52,10 @@
         node = fleet.start_node(0)
         fleet.wait_ready(0)
         fleet.apply_service()
-        big = fleet.control("get", "Service", "assistant", "-o", "json")
-        assert big.returncode == 0
+        service = fleet.control("get", "Service", "assistant", "-o", "json")
+        assert service.returncode == 0
         status, _, _ = call(fleet.node_http[0], "PUT", "/v1/resources/Service/assistant",
-                            {"version": json.loads(big.stdout)["version"],
+                            {"version": json.loads(service.stdout)["version"],
                              "spec": {"model": "m", "runner_slots": 4096}})
         assert status == 200
         rows, ratios = {"node": [], "pass-through": []}, []
@@ -63,17 +63,17 @@
             pair = {}
             for name, process, target in (("node", node, fleet.node_http[0]),
                                           ("pass-through", relay, pass_through)):
-                before = cpu_of(process)
+                before = cpu_seconds(process)
                 result = load(target, arguments.streams, arguments.requests)
-                pair[name] = result["tokens"] / (cpu_of(process) - before)
+                pair[name] = result["tokens"] / (cpu_seconds(process) - before)
                 rows[name].append(pair[name])
             ratios.append(pair["node"] / pair["pass-through"])
             print("relay: round %d of %d, ratio %.2f" % (number + 1, arguments.rounds,
                                                          ratios[-1]), file=sys.stderr, flush=True)
-        calm = {}
+        low_load = {}
         for name, target in (("node", fleet.node_http[0]), ("pass-through", pass_through)):
-            calm[name] = load(target, 4, 400, 5000)
-        added = {part: calm["node"][part] - calm["pass-through"][part]
+            low_load[name] = load(target, 4, 400, 5000)
+        added = {part: low_load["node"][part] - low_load["pass-through"][part]
                  for part in ("first_token_us_p50", "first_token_us_p99")}
         print("| figure | node | pass-through | ratio or difference |")
         print("|---|---|---|---|")
@@ -84,7 +84,7 @@
         for part in ("p50", "p99"):
             key = "first_token_us_" + part
             print("| first token, %s, low load, ms | %.3f | %.3f | %+.3f |" %
-                  (part, calm["node"][key] / 1e3, calm["pass-through"][key] / 1e3,
+                  (part, low_load["node"][key] / 1e3, low_load["pass-through"][key] / 1e3,
                    added[key] / 1e3))
     return 0
 
--- a/scripts/start_times.py
+++ b/scripts/start_times.py
@@ -1,18 +1,18 @@
 #!/usr/bin/env python3
-"""Tells how long the nodes of a fleet take from their start until they serve.
+"""Reports how long nodes take from process start until they serve requests.
 
-Reads the logs of nodes (one or more files; plain lines, or those of a day on the users' bench with
-`--log`) and prints two Markdown tables:
+Reads node logs (one or more files; plain lines, or the output of a day on the users' bench with `--log`)
+and prints two Markdown tables:
 
-  steps   seconds from the start of the process to each step of `start_progress`: how many nodes reached
-          it, the first, the middle, 95 of 100 and the last
-  calls   what a node asked of the store in its first seconds, in the mean: calls, bytes answered, calls
-          refused and calls that timed out, by call and topic
+  steps   seconds from process start to each step of `start_progress`: number of nodes that reached it,
+          minimum, median, 95th percentile and maximum
+  calls   mean store traffic of a node in its first seconds: calls, response bytes and timeouts by call
+          and topic, and the number of rejected calls
 
 usage: start_times.py LOG... [--since SECOND] [--within SECONDS]
 
-A node that was started several times counts once for each start. On a bench day `--since` leaves out
-what was printed before a simulated second, such as the day's own start.
+Each start of a node counts separately. On a bench day `--since` skips everything logged before a
+simulated second, such as the initial start of the fleet.
 """
 
 import argparse
@@ -21,16 +21,16 @@
 import re
 import sys
 
-# A line of a node's log, with the simulated second and the node before it on the users' bench.
+# A log line of a node; the users' bench prefixes it with the simulated second and the node name.
 LOG_LINE = re.compile(r"(?:\s*(-?[\d.]+) \S+ )?(\{.*\})\s*$")
-# `call:topic=calls/bytes sent/bytes answered`, and `/time outs` if there were any.
+# `call:topic=calls/bytes sent/bytes received`, followed by `/timeouts` if there are any.
 TRAFFIC = re.compile(r"([^=,]+)=(\d+)/(\d+)/(\d+)(?:/(\d+))?")
-# Between two lines `store_traffic` of a node.
+# Interval between two `store_traffic` lines of a node.
 TRAFFIC_SECONDS = 5
 
 
 def read_events(lines, since):
-    """Yields the events of nodes; those without a second are always taken."""
+    """Yields the log events of nodes; lines without a simulated second are always included."""
     for line in lines:
         match = LOG_LINE.match(line)
         if match is None or (match[1] is not None and float(match[1]) < since):
@@ -43,11 +43,11 @@
             yield event
 
 
-class Starts:
-    """Adds up the starts of all nodes."""
+class StartStatistics:
+    """Accumulates figures over the starts of all nodes."""
 
     def __init__(self, within):
-        self.lines_wanted = max(1, round(within / TRAFFIC_SECONDS))
+        self.lines_per_start = max(1, round(within / TRAFFIC_SECONDS))
         self.started = 0
         self.steps = collections.defaultdict(list)
         self.calls = collections.defaultdict(lambda: [0, 0, 0])
@@ -62,10 +62,10 @@
         elif name == "start_progress":
             self.steps[event["step"]].append(float(event["seconds"]))
         elif name == "store_traffic":
-            # A node whose start lies before the lines that were read is none that starts.
-            lines = self.traffic_lines.get(node, self.lines_wanted)
+            # Nodes that started before the first line read are ignored.
+            lines = self.traffic_lines.get(node, self.lines_per_start)
             self.traffic_lines[node] = lines + 1
-            if lines < self.lines_wanted:
+            if lines < self.lines_per_start:
                 self.add_traffic(event)
 
     def add_traffic(self, event):
@@ -76,8 +76,8 @@
                 row[i] += int(count)
 
 
-def part_of(values, part):
-    """The value below which this part of the sorted values lies, the last one for all."""
+def quantile(values, part):
+    """Returns the value at a quantile (0 to 1) of sorted values."""
     return values[min(len(values) - 1, int(len(values) * part))]
 
 
@@ -88,10 +88,10 @@
     yield "|---|---|---|---|---|---|"
     for step, values in sorted(starts.steps.items(), key=lambda row: min(row[1])):
         values = sorted(values)
-        cells = [values[0], part_of(values, 0.5), part_of(values, 0.95), values[-1]]
+        cells = [values[0], quantile(values, 0.5), quantile(values, 0.95), values[-1]]
         yield "| %s | %d | %s |" % (step, len(values), " | ".join("%.3f" % cell for cell in cells))
     yield ""
-    seconds = starts.lines_wanted * TRAFFIC_SECONDS
+    seconds = starts.lines_per_start * TRAFFIC_SECONDS
     yield "| asked in the first %d s, a start | calls | kB answered | timed out |" % seconds
     yield "|---|---|---|---|"
     count = max(1, starts.started)
@@ -108,7 +108,7 @@
     parser.add_argument("--since", type=float, default=float("-inf"))
     parser.add_argument("--within", type=float, default=TRAFFIC_SECONDS)
     options = parser.parse_args(arguments)
-    starts = Starts(options.within)
+    starts = StartStatistics(options.within)
     for path in options.logs:
         with open(path, errors="replace") as log:
             for event in read_events(log, options.since):
--- a/scripts/sweep_page.py
+++ b/scripts/sweep_page.py
@@ -1,9 +1,10 @@
 #!/usr/bin/env python3
-"""Writes the sweeps' part of docs/CAPACITY.md from journal entries, or checks that it follows from them.
+"""Generates the sweep section of docs/CAPACITY.md from journal entries, or checks that it is current.
 
 docs/measurements/sweeps.json names the journal entry of each deployment's sweep: one day each at 30, 100
-and 300 nodes. For each figure the users' bench prints the middle and the busiest node at each size, and
-the power of the number of nodes by which the busiest grows; the page carries that on to the target size.
+and 300 nodes. For each figure the users' bench prints the median and the busiest node at each size, and
+the exponent with which the busiest grows with the number of nodes; the page extrapolates it to the
+target size.
 
 usage: sweep_page.py [--check]
 """
@@ -21,19 +22,19 @@
 END = "<!-- sweeps: end -->"
 TARGET_NODES = 420
 LARGEST_SWEEP = 300
-# `name   middle / busiest   middle / busiest   middle / busiest   power  value at no nodes`
+# `name   median / busiest   median / busiest   median / busiest   exponent  value at zero nodes`
 ROW = re.compile(r"^(?P<name>[a-z][^0-9]*?)\s+(?P<sizes>(?:[\d.]+ / [\d.]+\s+){3})(?P<power>-?[\d.]+)\s")
 DAY = re.compile(r"^sweep-(\d+)\s+\S+\s+([\d.]+)\s+([\d.]+)\s+([\d.]+)\s+([\d.]+)\s+([\d.]+)")
 
 
-def entry_of(identity):
-    """Returns the journal entry with this id."""
+def load_entry(identity):
+    """Loads the journal entry with this id."""
     (path,) = (ROOT / "journal").glob("*-%s.json" % identity)
     return json.loads(path.read_text())
 
 
 def day_rows(entry):
-    """Yields nodes, worth, served, refused, failed and the rules that were broken."""
+    """Yields nodes, worth, served, refused, failed and the broken rules of each day."""
     broken = {day["name"]: day["rules"] for day in entry["days"]}
     for line in entry["digest"].splitlines():
         match = DAY.match(line)
@@ -43,7 +44,7 @@
 
 
 def figure_rows(entry):
-    """Yields each figure's name, its busiest at each size, the power, and what that comes to."""
+    """Yields each figure's name, busiest node per size, exponent and value at the target size."""
     for line in entry["digest"].splitlines():
         match = ROW.match(line)
         if not match:
@@ -63,7 +64,7 @@
 def render():
     lines = [BEGIN, ""]
     for site, identity in json.loads(ENTRIES.read_text()).items():
-        entry = entry_of(identity)
+        entry = load_entry(identity)
         lines += ["### %s (entry %s)" % (site, identity), ""]
         lines += table(["nodes", "worth", "served", "refused", "failed", "rules broken"],
                        day_rows(entry))
@@ -80,12 +81,12 @@
     page = PAGE.read_text()
     before, rest = page.split(BEGIN)
     after = rest.split(END)[1]
-    made = before + render() + after
+    updated = before + render() + after
     if arguments.check:
-        if made != page:
+        if updated != page:
             sys.exit("docs/CAPACITY.md does not follow from the journal: run scripts/sweep_page.py")
         return
-    PAGE.write_text(made)
+    PAGE.write_text(updated)
 
 
 if __name__ == "__main__":
--- a/scripts/where_lost.py
+++ b/scripts/where_lost.py
@@ -1,15 +1,15 @@
 #!/usr/bin/env python3
-"""Tells where a day's worth was lost, and for which reason.
+"""Breaks down where a bench day lost score (its `worth`), and why.
 
 Reads the report of one day played on the users' bench (its `--report` file) and, if given, the nodes'
 logs of that day (its output with `--log all`). Prints Markdown tables:
 
-  parts    weight x what is missing of each part, and each price; they add up to 1 - worth
-  windows  requests late, refused and failed by the second in which they came
-  reasons  what the nodes' logs say about each request that was not in time, and about each batch run
-           that was cut short; by zone and window, with ids for `stoatctl explain-logs`
+  parts    weight x missing share of each part, and each price; they add up to 1 - worth
+  windows  late, refused and failed requests by second of arrival
+  reasons  the cause of each request that missed its deadline and of each interrupted batch run, from
+           the nodes' logs; by zone and window, with ids for `stoatctl explain-logs`
 
-The words of the bench stand in REPORT_FIELDS and LOG_LINE alone.
+Only REPORT_FIELDS and LOG_LINE depend on the output format of the bench.
 """
 
 import argparse
@@ -18,18 +18,18 @@
 import re
 import sys
 
-# What the bench calls the fields of its report.
+# Field names of the bench's report.
 REPORT_FIELDS = {
     "worth": "G", "parts": "parts", "prices": "prices", "kinds": "classes", "windows": "windows",
     "zones": "zones", "name": "name", "asked": "n", "in_time": "in_aim", "late": "late",
     "refused": "refused", "failed": "failed", "credit": "worth",
 }
-# A line of a node's log as the bench prints it: simulated second, node, the line itself.
+# A log line of a node as printed by the bench: simulated second, node name, log entry.
 LOG_LINE = re.compile(r"\s*(-?[\d.]+) (\S+) (\{.*\})\s*$")
 
 WINDOW_SECONDS = 2
-# Part of a request's whole delay from which waiting for a place is what made it late.
-WAITED_PART = 0.5
+# Share of a request's delay from which the wait for a slot counts as the cause of its lateness.
+WAIT_SHARE = 0.5
 IDS_SHOWN = 3
 UNEXPLAINED = "not explained by the logs"
 
@@ -39,7 +39,7 @@
 
 
 def loss_by_part(report):
-    """Returns rows of (name, loss); they add up to 1 - worth but for rounding."""
+    """Returns rows of (name, loss), which add up to 1 - worth except for rounding."""
     rows = [("part: " + name, weight * (1 - served)) for name, weight, served in field(report, "parts")]
     rows += [("price: " + price[0], price[2]) for price in field(report, "prices")]
     rest = 1 - field(report, "worth") - sum(loss for _, loss in rows)
@@ -48,7 +48,7 @@
 
 
 def read_log(lines):
-    """Yields (second, node, event) of each line of a node."""
+    """Yields (second, node, event) for each log line of a node."""
     for line in lines:
         match = LOG_LINE.match(line)
         if match is None:
@@ -60,7 +60,7 @@
 
 
 class Request:
-    """What the log says of one online request."""
+    """Collects the log events of one online request."""
 
     def __init__(self):
         self.results = []
@@ -69,7 +69,7 @@
         self.refusal = None
 
     def reason(self):
-        """Returns why the answer was late or missing; the first that applies."""
+        """Returns the first cause that explains the late or missing response."""
         if self.refusal is not None:
             return "refused: " + self.refusal
         if self.end["outcome"] == "caller_gone":
@@ -82,7 +82,7 @@
             return "runner full"
         delay = self.end.get("answer_ms", "none")
         if delay != "none" and self.first_sent_ms is not None:
-            if self.first_sent_ms >= WAITED_PART * float(delay):
+            if self.first_sent_ms >= WAIT_SHARE * float(delay):
                 return "no slot free"
             return "late at the runner (its queue, prompt or step time)"
         return UNEXPLAINED
@@ -92,16 +92,16 @@
 
 
 class DayLog:
-    """All requests and batch runs of a day's log."""
+    """Collects all requests and batch runs from the log of a day."""
 
     def __init__(self, events):
         self.requests = collections.defaultdict(Request)
         self.zones = {}
         self.batch = collections.defaultdict(list)
         for second, node, event in events:
-            self.take(second, node, event)
+            self.add_event(second, node, event)
 
-    def take(self, second, node, event):
+    def add_event(self, second, node, event):
         name = event.get("name")
         if name == "node_started":
             self.zones[node] = event.get("zone", "?")
@@ -159,10 +159,10 @@
     totals = collections.Counter()
     for (reason, _, _), ids in rows.items():
         totals[reason] += len(ids)
-    whole = sum(totals.values())
-    print("### Together: %d\n" % whole)
+    total = sum(totals.values())
+    print("### Together: %d\n" % total)
     table(("reason", "count", "part"),
-          [(reason, count, "%.3f" % (count / whole)) for reason, count in totals.most_common()])
+          [(reason, count, "%.3f" % (count / total)) for reason, count in totals.most_common()])
     print("### The largest by zone and window\n")
     largest = sorted(rows.items(), key=lambda row: -len(row[1]))[:most]
     table(("reason", "zone", "from second", "count", "ids"),
@@ -173,7 +173,7 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--report", required=True, help="the day's report, JSON")
     parser.add_argument("--log", help="the bench's output with the logs of all nodes")
-    parser.add_argument("--most", type=int, default=20, help="rows of the largest losses (20)")
+    parser.add_argument("--most", type=int, default=20, help="rows in the table of the largest losses (20)")
     options = parser.parse_args()
     with open(options.report, encoding="utf-8") as file:
         print_report(json.load(file))
--- a/tests/days/play_days.py
+++ b/tests/days/play_days.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Plays our own days on a deployment with the users' bench and prints a table of the outcomes.
+"""Runs this project's days on a deployment with the users' bench and prints a table of the results.
 
 Usage: play_days.py --bench PROGRAM --site SITE [--jobs N] [NAME ...]
 """
@@ -13,21 +13,21 @@
 
 DAYS = pathlib.Path(__file__).resolve().parents[2] / "deploy" / "days"
 ROW = re.compile(r"^own-\S+\s+\S+\s+([\d.]+)\s+([\d.]+)\s+([\d.]+)\s+([\d.]+)\s+([\d.]+)\s+(.*)$", re.M)
-WRONG = ("rules broken", "fault:", "ended by itself")
+PROBLEM_PREFIXES = ("rules broken", "fault:", "ended by itself")
 
 
-def play(bench, site, day):
+def run_day(bench, site, day):
     result = subprocess.run([bench, "run", site, str(day), "--why", "own day " + day.stem],
                             capture_output=True, text=True)
     text = result.stdout + result.stderr
     row = ROW.search(text)
-    wrong = [line.strip() for line in text.splitlines() if line.startswith(WRONG)]
-    if "is not open" in text:  # This deployment knows no such trouble.
+    problems = [line.strip() for line in text.splitlines() if line.startswith(PROBLEM_PREFIXES)]
+    if "is not open" in text:  # The deployment does not support the day's faults.
         return day.stem, "not open here", "-", "-", "-", []
     if row is None:
-        wrong.append("not played: " + text.strip().splitlines()[-1][:150] if text.strip() else "no output")
+        problems.append("not played: " + text.strip().splitlines()[-1][:150] if text.strip() else "no output")
     worth, served, refused, failed = row.groups()[1:5] if row else ("-",) * 4
-    return day.stem, worth, served, refused, failed, wrong
+    return day.stem, worth, served, refused, failed, problems
 
 
 def main():
@@ -42,11 +42,11 @@
     print("| day | worth | served | refused | failed | wrong |")
     print("|---|---|---|---|---|---|")
     with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
-        for name, worth, served, refused, failed, wrong in pool.map(
-                lambda day: play(options.bench, options.site, day), days):
-            broken += bool(wrong)
+        for name, worth, served, refused, failed, problems in pool.map(
+                lambda day: run_day(options.bench, options.site, day), days):
+            broken += bool(problems)
             print("| %s | %s | %s | %s | %s | %s |" % (name, worth, served, refused, failed,
-                                                       "; ".join(wrong) or "-"), flush=True)
+                                                       "; ".join(problems) or "-"), flush=True)
     print("%d days, %d with something wrong" % (len(days), broken))
     return 1 if broken else 0
 
--- a/tests/days/write_days.py
+++ b/tests/days/write_days.py
@@ -1,16 +1,17 @@
 #!/usr/bin/env python3
-"""Writes one day per kind of trouble, and pairs of kinds, as files that the users' bench plays.
+"""Generates the fault scenarios (days) in deploy/days that the users' bench runs.
 
-Each day strikes an otherwise calm day of whatever deployment it is played on, some of them twice. The
-files lie in deploy/days, where the users' hunts look for days of ours; a day that doesn't fit a
-deployment is left out there. Run after a change here, and commit the files.
+There is one day per kind of fault, and days that combine kinds. Each injects its faults, some of them
+twice, into an otherwise fault-free day of the deployment on which it runs. The users' hunts read the
+files from deploy/days and skip a day that a deployment does not support. Run this script after each
+change and commit the generated files.
 """
 
 import pathlib
 
 DAYS = pathlib.Path(__file__).resolve().parents[2] / "deploy" / "days"
 
-# What a day once showed, in the words of docs/FINDINGS.md and docs/incidents.
+# Defects that days have revealed, as described in docs/FINDINGS.md and docs/incidents.
 SHOWN = {
     "roll-term": "Requests were taken until the end of a planned stop and then cut off (LOST).",
     "roll-term-busy": "Requests were taken until the end of a planned stop and then cut off (LOST).",
@@ -28,7 +29,7 @@
 }
 NOTHING_SHOWN = "It has shown no fault so far."
 
-# Name, planned work, faults. Times are seconds from the start of traffic.
+# Name, planned operations, faults. Times are seconds from the start of traffic.
 SINGLE = [
     ("burst", "", '{ at = 4, kind = "burst", x = 1.8, for_s = 4 }'),
     ("srv-crash", "", '{ at = 4, kind = "srv_crash", share = 0.25, for_s = 5 }'),
@@ -113,7 +114,7 @@
      '{ at = 3, kind = "node_cut", share = 0.3, for_s = 5, how = "servers" }'),
 ]
 
-# Further variants, each as the name says.
+# Further variants.
 MORE = [
     ("srv-crash-" + how.split()[0], "",
      '{ at = 4, kind = "srv_crash", share = 0.25, for_s = 5, how = "%s" }' % how)
@@ -143,7 +144,7 @@
      '{ at = 3, kind = "node_kill", on = "core", count = 1, for_s = 3, how = "reader hard" }'),
 ]
 
-# Kinds and variants that came with the newer pages.
+# Kinds and variants from later versions of the bench documentation.
 NEWER = [
     ("store-nodes-" + how.split()[0], "",
      '{ at = 3, kind = "platform_down", for_s = 7, how = "nodes %s", share = 0.35 }' % how)
@@ -168,8 +169,8 @@
     ("srv-lying-health", "", '{ at = 3, kind = "srv_lying_health", share = 0.2, for_s = 10 }'),
 ]
 
-# More work than slots: from all, from a few tenants, in one zone; and requests that end their runners.
-# `@c0`, `@c2` and `@z0` stand for a deployment's first and third kind of request and first zone.
+# Overload from all tenants, from a few, or in one zone, and requests that crash their runners.
+# `@c0`, `@c2` and `@z0` are replaced by a deployment's first and third request class and its first zone.
 TENANTS = ('{ at = 3, kind = "hot_tenant", x = 6.0, count = 1, for_s = 8 }, '
            '{ at = 4, kind = "hot_tenant", x = 5.0, count = 2, for_s = 8 }, '
            '{ at = 5, kind = "hot_tenant", x = 8.0, count = 3, for_s = 8 }')
@@ -216,9 +217,9 @@
      '{ at = 7, kind = "burst", x = 1.6, for_s = 4 }'),
 ]
 
-# All machines lose power once more at the end of the day; name, closing fault, planned work, faults.
+# Days that end with another power loss of all machines: name, closing fault, planned operations, faults.
 FIRST_SEED = 4100
-CLOSING_SEED = 4801  # With it late-power-twice once broke a rule.
+CLOSING_SEED = 4801  # late-power-twice has broken a rule with this seed.
 POWER_OFF = 'closing = { kind = "power_off_all", down_s = 1.4, how = "all taken" }'
 KILL_ALL = 'closing = { kind = "kill_all", down_s = 1.4 }'
 CLOSING = [
--- a/tests/scripts/start_times_test.py
+++ b/tests/scripts/start_times_test.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Feeds scripts/start_times.py logs made here, of two nodes that start and one that runs."""
+"""Tests scripts/start_times.py on generated logs of two starting nodes and one running node."""
 
 import contextlib
 import importlib.util
@@ -59,7 +59,7 @@
 
 
 class StartTimesTest(unittest.TestCase):
-    def test_steps_of_the_starts_asked_for(self):
+    def test_steps_of_the_selected_starts(self):
         code, text = render(DAY, "--since", "0")
         self.assertEqual(code, 0)
         self.assertIn("2 starts\n", text)
@@ -67,13 +67,13 @@
         self.assertIn("| first_request_served | 1 | 2.000 | 2.000 | 2.000 | 2.000 |", text)
         self.assertNotIn("runner_list_known", text)
 
-    def test_calls_of_the_first_seconds_of_nodes_that_started(self):
+    def test_calls_in_the_first_seconds_of_starting_nodes(self):
         _, text = render(DAY, "--since", "0")
         self.assertIn("| read:servers | 4.0 | 20.0 | 1.0 |", text)
         self.assertIn("| join:workers | 2.0 | 0.0 | 0.0 |", text)
         self.assertIn("refused by the store: 3.0 calls a start", text)
 
-    def test_a_longer_time_takes_more_lines(self):
+    def test_longer_window_includes_more_lines(self):
         _, text = render(DAY, "--since", "0", "--within", "10")
         self.assertIn("| read:servers | 39.0 | 55.0 | 1.0 |", text)
 
@@ -83,7 +83,7 @@
         self.assertIn("3 starts\n", text)
         self.assertIn("| runner_list_known | 1 | 1.000 |", text)
 
-    def test_logs_without_a_start_are_said_so(self):
+    def test_logs_without_a_start_are_reported(self):
         code, text = render([DAY[2]])
         self.assertEqual(code, 1)
         self.assertEqual(text, "no start of a node in these logs\n")
--- a/tests/scripts/where_lost_test.py
+++ b/tests/scripts/where_lost_test.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Feeds scripts/where_lost.py a small day made here, and checks that its reasons add up."""
+"""Tests scripts/where_lost.py on a small generated day; the reported losses must add up."""
 
 import contextlib
 import importlib.util
@@ -37,7 +37,7 @@
 
 
 def make_day():
-    """One request for each reason, one in time, and two batch runs that were cut short."""
+    """Returns the log of one request per cause, one in time, and two interrupted batch runs."""
     lines = ["a line of the bench itself\n", line(-5, "node-1", "node_started", zone="zone-a")]
     lines += [sent(1, "fine", 0), served(1.1, "fine", "yes", 50, 100)]
     lines += [sent(2.9, "waited", 800), served(3, "waited", "no", 900, 1000)]
@@ -52,7 +52,7 @@
                    answer_ms="none", duration_ms="1500")]
     lines += [line(7, "node-1", "request_ended", request="left", outcome="caller_gone", in_time="no",
                    answer_ms="none", duration_ms="200")]
-    # The node bounds its lines: of this request the choice is missing.
+    # Nodes limit their log volume: the entry for this request's dispatch is missing.
     lines += [served(9, "unknown", "no", 900, 1000)]
     for item in ("item-1", "item-2"):
         lines.append(line(8, "node-1", "item_attempt_failed", item=item, result="yielded"))
@@ -67,7 +67,7 @@
 
 
 class WhereLostTest(unittest.TestCase):
-    def test_losses_add_up_to_what_is_missing(self):
+    def test_losses_add_up_to_the_missing_worth(self):
         rows = dict(TOOL.loss_by_part(REPORT))
         self.assertAlmostEqual(sum(rows.values()), 0.3)
         self.assertAlmostEqual(rows["part: whole day"], 0.15)
@@ -88,11 +88,11 @@
         })
         self.assertEqual(reasons["dark"][1:], ("zone-a", 4))
 
-    def test_batch_runs_are_counted_by_their_end(self):
+    def test_interrupted_batch_runs_are_counted_by_result(self):
         batch = TOOL.DayLog(TOOL.read_log(make_day())).batch
         self.assertEqual(batch, {("batch run yielded", "zone-a", 8): ["item-1", "item-2"]})
 
-    def test_the_whole_day_is_printed(self):
+    def test_report_of_a_day_is_printed(self):
         with tempfile.TemporaryDirectory() as folder:
             report = pathlib.Path(folder) / "report.json"
             report.write_text(json.dumps(REPORT))
--- a/tests/system/early_signals_test.py
+++ b/tests/system/early_signals_test.py
@@ -2,8 +2,8 @@
 
 Guards against a SIGTERM or SIGHUP shortly after the start killing the process (exit status -15 or
 -1, nothing logged) because handlers are installed only once most of the process is constructed.
-Soak seeds 5007, 9107 and 9202 showed it. The settings file is a named pipe, which blocks the process
-in its start for as long as a test needs. Signals before `main`, while the loader runs, cannot be
+Soak seeds 5007, 9107 and 9202 showed it. The settings file is a named pipe, which blocks the
+process in its start for as long as a test needs. Signals before `main`, while the loader runs, cannot be
 blocked by the program and are not tested.
 """
 
