--- a/tests/soak/configuration_watch.py
+++ b/tests/soak/configuration_watch.py
@@ -32,8 +32,8 @@
 
     name: str
     added_by: float = float("inf")  # When the store's acknowledgement was received.
-    drop_begun: float = float("inf")
-    dropped_by: float = float("inf")
+    removal_started: float = float("inf")
+    removed_by: float = float("inf")
 
 
 class ConfigurationWatch:
@@ -53,12 +53,12 @@
         """Calls `configure` with the routes of a version and records when it is acknowledged."""
         added = WatchedRoute("v%d" % version)
         if self.routes:
-            self.routes[-1].drop_begun = time.monotonic()
+            self.routes[-1].removal_started = time.monotonic()
         self.routes.append(added)
         configure([route(added.name)] + self.idle)
         added.added_by = time.monotonic()
         if len(self.routes) > 1:
-            self.routes[-2].dropped_by = added.added_by
+            self.routes[-2].removed_by = added.added_by
 
     def watch(self, seed, call, stopped):
         """Sends requests until `stopped` is set; `call` sends one as the soak's clients do."""
@@ -70,26 +70,26 @@
             time.sleep(REQUEST_INTERVAL_SECONDS)
 
     def ask(self, plan, request, call):
-        asked = plan.choice(self.routes[-2:])
+        watched = plan.choice(self.routes[-2:])
         node = plan.randrange(len(self.platform.nodes))
         process_started = self.platform.node_processes[node].started_at
         sent = time.monotonic()
         headers = {"Stoathold-Attempt-Id": request, "Stoathold-Deadline-Ms": "5000",
                    **self.platform.key_headers(None)}
         try:
-            status, _, _ = call(node, "POST", "/%s/1" % asked.name, b"q", headers)
+            status, _, _ = call(node, "POST", "/%s/1" % watched.name, b"q", headers)
         except (OSError, http.client.HTTPException):
             status = None
         self.checker.count("configuration %s" % status)
-        self.check_response(asked, node, process_started, sent, status)
+        self.check_response(watched, node, process_started, sent, status)
 
-    def check_response(self, asked, node, process_started, sent, status):
+    def check_response(self, watched, node, process_started, sent, status):
         answered = time.monotonic()
-        known = sent - asked.added_by > STALE_SECONDS and answered < asked.drop_begun
+        known = sent - watched.added_by > STALE_SECONDS and answered < watched.removal_started
         if status == 404 and known:
             self.checker.record_violation(
                 "node %d answered 404 for %s, acknowledged %.1f s before the request" % (
-                    node, asked.name, sent - asked.added_by))
-        if status == 200 and asked.dropped_by < process_started:
+                    node, watched.name, sent - watched.added_by))
+        if status == 200 and watched.removed_by < process_started:
             self.checker.record_violation("node %d served %s, removed %.1f s before its start" % (
-                node, asked.name, process_started - asked.dropped_by))
+                node, watched.name, process_started - watched.removed_by))
--- a/tests/soak/hard_load.py
+++ b/tests/soak/hard_load.py
@@ -154,10 +154,10 @@
         name = self.random.choice(sorted(self.runner_links))
         self.log("runner %s: throughput limited" % name)
         link = self.runner_links[name]
-        link.bound(SLOW_RUNNER_BYTES)
+        link.limit_rate(SLOW_RUNNER_BYTES)
         for number in range(4):
             self.start_thread(self.ask_large, self.random.randrange(self.node_count), number)
-        return lambda: link.bound(None)
+        return lambda: link.limit_rate(None)
 
     def ask_large(self, node, number):
         request = "large%dx%f" % (number, time.monotonic())
--- a/tests/soak/link_proxy.py
+++ b/tests/soak/link_proxy.py
@@ -5,7 +5,7 @@
 
 COPY_BYTES = 65536
 # Copy size of a rate-limited direction: its connections share the rate in units of this size.
-BOUNDED_COPY_BYTES = 8192
+RATE_LIMITED_COPY_BYTES = 8192
 POLL_SECONDS = 0.02
 
 
@@ -22,9 +22,9 @@
         self.free_at = 0.0
 
     def chunk_bytes(self):
-        return BOUNDED_COPY_BYTES if self.bytes_per_second else COPY_BYTES
+        return RATE_LIMITED_COPY_BYTES if self.bytes_per_second else COPY_BYTES
 
-    async def carry(self, count):
+    async def pace(self, count):
         """Counts `count` bytes and waits until the rate limit lets them pass."""
         self.bytes += count
         if not self.bytes_per_second:
@@ -49,7 +49,7 @@
         self.back = Direction()
         self.writers = set()
 
-    def bound(self, bytes_per_second):
+    def limit_rate(self, bytes_per_second):
         """Limits the rate of each direction; None removes the limit."""
         self.forward.bytes_per_second = bytes_per_second
         self.back.bytes_per_second = bytes_per_second
@@ -100,7 +100,7 @@
                 if writer.is_closing():
                     # The receiver has gone, so nothing more is sent.
                     return
-                await direction.carry(len(data))
+                await direction.pace(len(data))
                 writer.write(data)
                 await writer.drain()
         except (OSError, RuntimeError):
--- a/tests/soak/power_loss.py
+++ b/tests/soak/power_loss.py
@@ -54,7 +54,7 @@
     def make_link(self, kind, name, address):
         link_address = super().make_link(kind, name, address)
         if kind == "store":
-            self.store_links[-1].bound(self.link_bytes_per_second)
+            self.store_links[-1].limit_rate(self.link_bytes_per_second)
         return link_address
 
     @staticmethod
--- a/tests/system/recovery_path_test.py
+++ b/tests/system/recovery_path_test.py
@@ -30,7 +30,7 @@
                  "timeout_ms": 20000, "target_latency_ms": 5000, "service": "absent",
                  "max_attempts": 3, "completion_target_ms": 20000, "retention_s": 600,
                  "max_queued_tokens": 100000}
-# In this time the links could transfer all open requests 100 times.
+# Timeout in which the links could transfer all open requests 100 times.
 COMPLETION_TIMEOUT_SECONDS = 120.0
 # How often each open request may be read, as text, and what else a node may read at its start.
 MAX_READS_PER_OPEN_REQUEST = 4
@@ -76,7 +76,7 @@
     def start_all(self):
         self.starts += 1
         for link in self.store_links:
-            link.bound(LINK_BYTES_PER_SECOND)
+            link.limit_rate(LINK_BYTES_PER_SECOND)
         for process in self.platform.node_processes:
             process.start()
 
--- a/tests/system/result_writes_test.py
+++ b/tests/system/result_writes_test.py
@@ -26,7 +26,7 @@
 ITEMS = 20
 # If no item starts in this time, everything that can run without the store has run.
 QUIET_SECONDS = 4.0
-# In this time the link could transfer all results 20 times.
+# Timeout in which the link could transfer all results 20 times.
 COMPLETION_TIMEOUT_SECONDS = 90.0
 
 
@@ -76,7 +76,7 @@
         self.load_jobs()
         runs = self.run_without_store()
         link = self.store_links[0]
-        link.bound(LINK_BYTES_PER_SECOND)
+        link.limit_rate(LINK_BYTES_PER_SECOND)
         before = link.forward.bytes
         self.platform.set_faults(self.platform.store, outage="")
         counts = []
--- a/tests/system/results_path_test.py
+++ b/tests/system/results_path_test.py
@@ -20,7 +20,7 @@
 # Two pages of results each.
 JOBS = 8
 ITEMS = 100
-# In this time the link could transfer all results 15 times.
+# Timeout in which the link could transfer all results 15 times.
 COMPLETION_TIMEOUT_SECONDS = 60.0
 
 
@@ -54,7 +54,7 @@
     def test_all_clients_get_their_results(self):
         self.finish_jobs()
         self.platform.node_processes[0].kill()
-        self.store_links[0].bound(LINK_BYTES_PER_SECOND)
+        self.store_links[0].limit_rate(LINK_BYTES_PER_SECOND)
         before = self.store_links[0].back.bytes
         self.platform.node_processes[0].start()
         self.platform.wait_ready()
--- a/tests/system/runner_ending_requests_test.py
+++ b/tests/system/runner_ending_requests_test.py
@@ -34,8 +34,8 @@
         self.platform = Platform(self.directory.name, runners=self.runners, crash_body=CRASH_BODY)
         self.addCleanup(self.directory.cleanup)
         self.addCleanup(self.platform.stop)
-        self.asked = 0
-        self.ended = 0
+        self.requests_sent = 0
+        self.crashes = 0
         for name in self.platform.runners:
             self.platform.register_runner(name)
         self.platform.configure(1)
@@ -43,9 +43,9 @@
 
     def ask(self, node, body):
         """Sends a request with a new id; returns (status, headers, body), status None if cut."""
-        self.asked += 1
+        self.requests_sent += 1
         try:
-            return self.platform.ask(node, "a%d" % self.asked, body.encode())
+            return self.platform.ask(node, "a%d" % self.requests_sent, body.encode())
         except (OSError, http.client.HTTPException):
             return None, {}, b""
 
@@ -54,7 +54,7 @@
         answer = None
         for copy in range(count):
             answer = self.ask(copy % 3, body)
-            self.ended += self.platform.restart_ended_runners(self.same_id)
+            self.crashes += self.platform.restart_ended_runners(self.same_id)
         return answer
 
     def wait_served(self, node):
@@ -63,7 +63,7 @@
 
     def test_crashes_few_runners_and_is_then_rejected_everywhere(self):
         status, headers, _ = self.send_copies(COPIES)
-        self.assertLessEqual(self.ended, MAX_CRASHES + MAX_SENDS_IN_FLIGHT)
+        self.assertLessEqual(self.crashes, MAX_CRASHES + MAX_SENDS_IN_FLIGHT)
         self.assertEqual(status, 503)
         self.assertIn("Retry-After", headers)
         for node in range(3):
@@ -82,10 +82,10 @@
         for process in self.platform.node_processes:
             process.start()
         self.platform.wait_ready()
-        self.ended = 0
+        self.crashes = 0
         status, _, _ = self.send_copies(COPIES)
         self.assertEqual(status, 503)
-        self.assertLessEqual(self.ended, MAX_SENDS_IN_FLIGHT)
+        self.assertLessEqual(self.crashes, MAX_SENDS_IN_FLIGHT)
 
 
 class RestartedRunnerWithSameIdTest(RunnerEndingRequestsTest):
--- a/tests/system/starting_nodes_path_test.py
+++ b/tests/system/starting_nodes_path_test.py
@@ -95,7 +95,7 @@
         for process in self.platform.node_processes:
             process.handle.kill()
         for link in self.store_links:
-            link.bound(LINK_BYTES_PER_SECOND)
+            link.limit_rate(LINK_BYTES_PER_SECOND)
         for process in self.platform.node_processes:
             process.kill()
             process.start()
--- a/tests/system/tenant_path_test.py
+++ b/tests/system/tenant_path_test.py
@@ -21,7 +21,7 @@
         self.platform = Platform(self.directory.name)
         self.addCleanup(self.directory.cleanup)
         self.addCleanup(self.platform.stop)
-        self.asked = 0
+        self.requests_sent = 0
 
     def start(self, *tenants):
         for name in self.platform.runners:
@@ -30,8 +30,8 @@
         self.platform.wait_ready()
 
     def ask(self, node, key):
-        self.asked += 1
-        return self.platform.ask(node, "t%d" % self.asked, key=key)[0]
+        self.requests_sent += 1
+        return self.platform.ask(node, "t%d" % self.requests_sent, key=key)[0]
 
     def test_only_known_keys_are_served_and_no_key_is_logged(self):
         self.start(tenant("alder", "secret-of-alder"))
