--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -12,14 +12,14 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 BUILD = pathlib.Path(os.environ.get("STOATHOLD_BUILD", ROOT / "build" / "release"))
-START_PATIENCE_SECONDS = 30.0
+START_TIMEOUT_SECONDS = 30.0
 
 
 def free_ports(count):
-    """Returns ports that were free a moment ago.
+    """Returns ports that are currently unused.
 
-    They lie below the range from which the system takes ports of outgoing connections: a process
-    that is started again must find its port as it left it.
+    They lie below the ephemeral port range, so that no outgoing connection takes the port of a
+    process between its stop and its restart.
     """
     first, end = 20000, 32000
     chosen = []
@@ -54,9 +54,9 @@
     return status, json.loads(content) if content else None
 
 
-def wait_for(condition, what, patience=START_PATIENCE_SECONDS):
-    """Waits until condition() is true; raises with `what` if it does not become so."""
-    end = time.monotonic() + patience
+def wait_for(condition, what, timeout_seconds=START_TIMEOUT_SECONDS):
+    """Waits until condition() is true; raises TimeoutError naming `what` on timeout."""
+    end = time.monotonic() + timeout_seconds
     while time.monotonic() < end:
         try:
             if condition():
@@ -64,18 +64,18 @@
         except (OSError, http.client.HTTPException, ValueError):
             pass
         time.sleep(0.05)
-    raise TimeoutError("waited in vain for " + what)
+    raise TimeoutError("timed out waiting for " + what)
 
 
 class Process:
-    """One process of the fleet, its log kept in a file."""
+    """One process of the fleet with its log file."""
 
     def __init__(self, name, arguments, log_directory):
         self.name = name
         self.arguments = [str(item) for item in arguments]
         self.log_path = pathlib.Path(log_directory) / (name + ".log")
         self.handle = None
-        self.started_at = None  # No later than the process' first step; of the monotonic clock.
+        self.started_at = None  # Monotonic time taken just before the process is created.
         self.start()
 
     def start(self):
@@ -84,25 +84,25 @@
             self.handle = subprocess.Popen(self.arguments, stdout=log, stderr=log)
 
     def kill(self):
-        """SIGKILL: the process is gone at once."""
+        """Kills the process with SIGKILL and waits for it."""
         if self.handle.poll() is None:
             self.handle.kill()
         self.handle.wait()
 
-    def freeze(self):
+    def suspend(self):
         self.handle.send_signal(signal.SIGSTOP)
 
-    def wake(self):
+    def resume(self):
         self.handle.send_signal(signal.SIGCONT)
 
-    def stop(self, patience=40.0):
-        """SIGTERM: a planned stop; returns the exit code."""
+    def stop(self, timeout_seconds=40.0):
+        """Shuts the process down gracefully with SIGTERM; returns the exit code."""
         self.handle.terminate()
-        return self.handle.wait(patience)
+        return self.handle.wait(timeout_seconds)
 
 
 class Fleet:
-    """Stand-ins, nodes and engines. Nodes are spread over `zones` in turn, and so are engines."""
+    """Emulators, nodes and engines; nodes and engines are spread over `zones` round robin."""
 
     def __init__(self, directory, nodes=3, engines=4, zones=3, engine_parameters=None):
         self.directory = pathlib.Path(directory)
@@ -121,7 +121,7 @@
         return self
 
     def __exit__(self, *_):
-        self.end()
+        self.stop()
 
     def zone_of(self, index):
         return "zone-%d" % (index % self.zones + 1)
@@ -130,7 +130,7 @@
         self.processes[name] = Process(name, arguments, self.directory)
         return self.processes[name]
 
-    def start_stand_ins(self):
+    def start_emulators(self):
         emulator = BUILD / "apps" / "stoathold-emulator"
         self.start_process("log", [emulator, "log", "--listen", self.log])
         self.start_process("machines", [emulator, "machines", "--listen", self.machines])
@@ -151,7 +151,7 @@
         return self.start_process("engine-%d" % index, arguments)
 
     def publish_machines(self):
-        """Sets the platform's machine list."""
+        """Publishes the machine list of the platform."""
         machines = []
         for index, address in enumerate(self.node_peer):
             machines.append({"role": "node", "name": "node-%d" % index, "region": "region-1",
@@ -183,7 +183,7 @@
         wait_for(lambda: call(address, "GET", "/readyz")[0] == 200, "node-%d to be ready" % index)
 
     def start(self):
-        self.start_stand_ins()
+        self.start_emulators()
         self.start_nodes()
 
     def control(self, *arguments, node=0):
@@ -206,15 +206,15 @@
     def process_of(self, http_address):
         return self.processes["node-%d" % self.node_http.index(http_address)]
 
-    def fault(self, address, **faults):
-        """Switches faults of a stand-in."""
+    def set_faults(self, address, **faults):
+        """Sets faults of an emulator."""
         status, _, _ = call(address, "POST", "/admin/faults", faults)
         assert status == 200
 
-    def end(self):
+    def stop(self):
         for process in self.processes.values():
             if process.handle.poll() is None:
-                process.wake()
+                process.resume()
                 process.kill()
 
 
@@ -245,7 +245,7 @@
 
 
 def read_events(content):
-    """Splits a server-sent event answer into (texts, finished, error or None)."""
+    """Parses a server-sent event response into (texts, finished, error or None)."""
     texts, finished, error = [], False, None
     for event in content.decode().split("\n\n"):
         lines = dict(line.split(": ", 1) for line in event.split("\n") if ": " in line)
