--- a/src/admission/slot_time_ledger.cc
+++ b/src/admission/slot_time_ledger.cc
@@ -72,7 +72,7 @@
 void SlotTimeLedger::apply_report(std::uint64_t node, const SlotTimeReport& report, TimePoint now) {
   const auto [position, new_node] = nodes_.try_emplace(node);
   Node& known = position->second;
-  known.last_heard = now;
+  known.last_receive_time = now;
   const TenantServiceKey key{report.service, report.tenant};
   if (known.counters.size() >= kMaxShares && !known.counters.contains(key)) return;
   const auto [counter, first] = known.counters.try_emplace(key);
@@ -129,8 +129,8 @@
 }
 
 void SlotTimeLedger::remove_inactive(TimePoint now) {
-  std::erase_if(nodes_,
-                [&](const auto& entry) { return now - entry.second.last_heard > kGoneAfter; });
+  std::erase_if(
+      nodes_, [&](const auto& entry) { return now - entry.second.last_receive_time > kGoneAfter; });
   std::erase_if(shares_, [&](const auto& entry) {
     const Share& share = entry.second;
     const bool idle = share.waiting <= 0 && share.recent.value(now) < kNegligibleUse;
--- a/src/admission/slot_time_ledger.h
+++ b/src/admission/slot_time_ledger.h
@@ -85,7 +85,7 @@
     TimePoint increased_at{};
   };
   struct Node {
-    TimePoint last_heard{};
+    TimePoint last_receive_time{};
     std::unordered_map<TenantServiceKey, Counter, KeyHash> counters;
   };
   struct Change {
--- a/src/gateway/gateway_context.h
+++ b/src/gateway/gateway_context.h
@@ -104,7 +104,7 @@
   TrafficSplit split;
   PlacementQueue placement;
   OnlineAdmission admission;
-  BatchArbiter batch_turns;  ///< Shared by the nodes of the zone.
+  BatchArbiter batch_arbiter;  ///< Shared by the nodes of the zone.
   FairShares shares{load_policy};
   UpstreamPool pool;
   Quarantine quarantine;
--- a/src/gateway/online_admission.cc
+++ b/src/gateway/online_admission.cc
@@ -115,7 +115,7 @@
 
 SlotCapacity OnlineAdmission::count_slot_capacity(const std::string& service, TimePoint now) const {
   SlotCapacity capacity;
-  for (const auto& runner : registry_.runners_of_service(service)) {
+  for (const auto& runner : registry_.for_service(service)) {
     if (!runner->usable(now)) continue;
     const std::string& zone = runner->record().zone;
     if (zone == zone_) {
@@ -147,8 +147,8 @@
 }
 
 std::optional<RetryTime> OnlineAdmission::retry_time_for(const PlacementRequest& request,
-                                                            const RejectionInputs& inputs,
-                                                            TimePoint now) {
+                                                         const RejectionInputs& inputs,
+                                                         TimePoint now) {
   const std::uint64_t service = stable_hash(request.selection.service);
   return choose_retry_time(
       {.service = service,
--- a/src/gateway/online_admission.h
+++ b/src/gateway/online_admission.h
@@ -106,8 +106,8 @@
   std::optional<PlacementRejection> review(const PlacementRequest& request,
                                            const QueuePosition& position, TimePoint now);
   [[nodiscard]] std::optional<RetryTime> retry_time_for(const PlacementRequest& request,
-                                                           const RejectionInputs& inputs,
-                                                           TimePoint now);
+                                                        const RejectionInputs& inputs,
+                                                        TimePoint now);
   /// Returns how many callers that were promised a slot are expected to retry between one booking
   /// bin ago and `ahead` from now.
   [[nodiscard]] std::uint32_t expected_retries_within(const std::string& service, Duration ahead,
--- a/src/gateway/online_outcome.cc
+++ b/src/gateway/online_outcome.cc
@@ -75,19 +75,18 @@
   } else if (refusal.status == 503 && refusal.advice == RetryAdvice::kComputedDelay) {
     retry_after = decimal_text(to_seconds(refusal.retry_after));
   }
-  log_event(
-      Event::kRequestUnanswered,
-      {{"request", id_},
-       {"route", route_.name},
-       {"status", std::to_string(refusal.status)},
-       {"reason", refusal.reason},
-       {"retry_after", retry_after.empty() ? "none" : retry_after},
-       {"content", to_hex(value_of(quarantine_check_.content()))},
-       {"sends", std::to_string(sends_)},
-       {"runs", std::to_string(runs_)},
-       {"runners_known", std::to_string(context_.runners.runners_of_service(service_).size())},
-       {"configuration", std::to_string(configuration_->version)},
-       {"age_ms", milliseconds_text(monotonic_now() - arrival_)}});
+  log_event(Event::kRequestUnanswered,
+            {{"request", id_},
+             {"route", route_.name},
+             {"status", std::to_string(refusal.status)},
+             {"reason", refusal.reason},
+             {"retry_after", retry_after.empty() ? "none" : retry_after},
+             {"content", to_hex(value_of(quarantine_check_.content()))},
+             {"sends", std::to_string(sends_)},
+             {"runs", std::to_string(runs_)},
+             {"runners_known", std::to_string(context_.runners.for_service(service_).size())},
+             {"configuration", std::to_string(configuration_->version)},
+             {"age_ms", milliseconds_text(monotonic_now() - arrival_)}});
   std::vector<HttpHeader> headers;
   if (!retry_after.empty()) headers.push_back({"Retry-After", std::move(retry_after)});
   std::string body = std::string("{\"error\":\"") + refusal.reason + "\"}";
--- a/src/gateway/online_request.cc
+++ b/src/gateway/online_request.cc
@@ -185,7 +185,7 @@
 
 void OnlineRequest::release_slot(Runner& runner) {
   runner.end_attempt(AttemptOutcome::kAbandoned, monotonic_now(),
-                     std::exchange(tokens_to_read_, 0));
+                     std::exchange(uncached_tokens_, 0));
   context_.placement.capacity_changed();
 }
 
@@ -288,7 +288,7 @@
     result = classify_failure(status);
     if (status == UpstreamStatus::kOk) {
       stage_ = RunStage::kResponseStarted;
-      record_response_head(context_, *runner, upstream->head(), tokens_to_read_);
+      record_response_head(context_, *runner, upstream->head(), uncached_tokens_);
       result = co_await relay_response(*runner);
     }
   }
@@ -305,7 +305,7 @@
     upstream->cancel();
   }
   upstream_.reset();
-  runner->end_attempt(runner_outcome(result), monotonic_now(), std::exchange(tokens_to_read_, 0));
+  runner->end_attempt(runner_outcome(result), monotonic_now(), std::exchange(uncached_tokens_, 0));
   record_slot_release(result);
   if (result != AttemptResult::kCompleted) log_attempt(*runner, result, status);
   ++context_.metrics.attempts[std::string(to_string(status))];
--- a/src/gateway/online_request.h
+++ b/src/gateway/online_request.h
@@ -131,7 +131,7 @@
   std::shared_ptr<PlacementTicket> ticket_;
   std::optional<PlacementRejection> rejection_;  ///< Result of the last wait for a slot.
   std::optional<AdmissionClass> standing_;       ///< Set on the first call of `standing()`.
-  std::uint32_t tokens_to_read_ = 0;  ///< Of the current attempt, until its response begins.
+  std::uint32_t uncached_tokens_ = 0;  ///< Of the current attempt, until its response begins.
   std::shared_ptr<UpstreamExchange> upstream_;
   Duration silence_timeout_{0};  ///< Silence after which the attempt is abandoned; 0: no limit.
   TimePoint silent_since_{};     ///< When the runner was last active for this request.
--- a/src/gateway/online_wait.cc
+++ b/src/gateway/online_wait.cc
@@ -72,7 +72,7 @@
   const TimePoint wait_start = monotonic_now();
   const auto runner = co_await context_.placement.acquire(ticket_);
   if (runner) context_.admission.record_wait(monotonic_now() - wait_start);
-  tokens_to_read_ = ticket_->selection().uncached_prompt_tokens;
+  uncached_tokens_ = ticket_->selection().uncached_prompt_tokens;
   runner_work_ = ticket_->selection().runner_work();
   expected_times_ = ticket_->selection().expected;
   if (runner) log_choice(ticket_->selection());
--- a/src/jobs/item_run.cc
+++ b/src/jobs/item_run.cc
@@ -130,9 +130,9 @@
   request.is_obsolete = [this] { return quarantine_check_.is_quarantined(); };
   ticket_ = context_.placement.make_ticket(std::move(request));
   const auto runner = co_await context_.placement.acquire(ticket_);
-  if (entry.active) context_.batch_turns.end_wait(entry.service, entry.urgency);
+  if (entry.active) context_.batch_arbiter.end_wait(entry.service, entry.urgency);
   const Selection choice = ticket_->selection();
-  tokens_to_read_ = choice.uncached_prompt_tokens;
+  uncached_tokens_ = choice.uncached_prompt_tokens;
   runner_work_ = choice.runner_work();
   ticket_.reset();
   if (runner) log_selection(choice, schedule);
@@ -142,20 +142,19 @@
 
 ItemRun::QueueEntry ItemRun::join_queue(PlacementRequest& request, const ItemSchedule& schedule) {
   if (!context_.load_policy.distributes_batch_runners) return {};
-  BatchArbiter& turns = context_.batch_turns;
+  BatchArbiter& arbiter = context_.batch_arbiter;
   const QueueEntry entry{.active = true,
                          .service = stable_hash(request.selection.service),
                          .urgency = schedule.late() ? ItemUrgency::kLate : ItemUrgency::kInTime};
-  request.selection.batch_arbiter = &turns;
+  request.selection.batch_arbiter = &arbiter;
   request.selection.urgency = entry.urgency;
-  turns.begin_wait(entry.service, entry.urgency);
+  arbiter.begin_wait(entry.service, entry.urgency);
   return entry;
 }
 
 /// Excludes runners on which the item has failed, as long as the service has other runners.
 std::vector<std::uint64_t> ItemRun::runners_to_avoid(const std::string& service) const {
-  const bool has_others =
-      failed_runners_.size() < context_.runners.runners_of_service(service).size();
+  const bool has_others = failed_runners_.size() < context_.runners.for_service(service).size();
   return has_others ? failed_runners_ : std::vector<std::uint64_t>{};
 }
 
@@ -322,7 +321,7 @@
 
 void ItemRun::record_attempt(Runner& runner, AttemptResult result) {
   runner.end_attempt(attempt_outcome(runner, result), monotonic_now(),
-                     std::exchange(tokens_to_read_, 0), WorkClass::kBatch);
+                     std::exchange(uncached_tokens_, 0), WorkClass::kBatch);
   if (result == AttemptResult::kCompleted) return;
   log_event(Event::kItemAttemptFailed, {{"job", item_.job},
                                         {"item", item_.item_id},
@@ -337,7 +336,7 @@
 
 asio::awaitable<AttemptResult> ItemRun::read_answer(Runner& runner) {
   const UpstreamHead& head = upstream_->head();
-  record_response_head(context_, runner, head, tokens_to_read_);
+  record_response_head(context_, runner, head, uncached_tokens_);
   constexpr int kOk = 200;
   constexpr int kUnprocessable = 422;
   constexpr int kServerError = 500;
--- a/src/jobs/item_run.h
+++ b/src/jobs/item_run.h
@@ -109,7 +109,7 @@
   std::string route_name_;    ///< Name of the route as of the last lookup.
   Duration objective_{0};     ///< Completion objective of that route, from submission to result.
   /// Expected prompt tokens of the current attempt; 0 once its answer begins.
-  std::uint32_t tokens_to_read_ = 0;
+  std::uint32_t uncached_tokens_ = 0;
   std::shared_ptr<PlacementTicket> ticket_;
   std::shared_ptr<UpstreamExchange> upstream_;
   std::shared_ptr<Runner> runner_;
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -30,9 +30,10 @@
  public:
   static constexpr Duration kQuarantineTime = std::chrono::minutes(10);
 
-  /// @param last_heard returns when a runner was last heard from; a runner heard from after its
-  /// reported exit is still running.
-  explicit Quarantine(RunnerExitTable::LastHeard last_heard) : exit_table_(std::move(last_heard)) {}
+  /// @param last_receive_time returns when a runner was last heard from; a runner heard from after
+  /// its reported exit is still running.
+  explicit Quarantine(RunnerExitTable::LastReceiveTime last_receive_time)
+      : exit_table_(std::move(last_receive_time)) {}
 
   /// Called with each request that is quarantined after exits observed by this node, and the number
   /// of runners that exited with it, so that the quarantine is recorded in the log.
--- a/src/quarantine/runner_exit_table.cc
+++ b/src/quarantine/runner_exit_table.cc
@@ -78,7 +78,7 @@
 bool RunnerExitTable::is_valid(const Suspect& suspect, std::uint64_t runner,
                                const Exit& exit) const {
   if (suspect.cleared && exit.at <= *suspect.cleared) return false;
-  const auto heard = last_heard_(runner);
+  const auto heard = last_receive_time_(runner);
   return !heard || *heard <= exit.at + kLastHeardTolerance;
 }
 
--- a/src/quarantine/runner_exit_table.h
+++ b/src/quarantine/runner_exit_table.h
@@ -45,10 +45,10 @@
  public:
   /// Returns when the runner was last heard from by any node, as far as known here; nothing if
   /// never.
-  using LastHeard = std::function<std::optional<TimePoint>(std::uint64_t runner)>;
+  using LastReceiveTime = std::function<std::optional<TimePoint>(std::uint64_t runner)>;
 
-  explicit RunnerExitTable(LastHeard last_heard, ExitWeights weights = {})
-      : last_heard_(std::move(last_heard)), weights_(weights) {}
+  explicit RunnerExitTable(LastReceiveTime last_receive_time, ExitWeights weights = {})
+      : last_receive_time_(std::move(last_receive_time)), weights_(weights) {}
 
   /// Adds an exit.
   /// @return whether it was new or has a later stage than the known one.
@@ -95,7 +95,7 @@
                                           const Exit& exit, std::uint32_t weight) const;
   void evict_one();
 
-  LastHeard last_heard_;
+  LastReceiveTime last_receive_time_;
   ExitWeights weights_;
   std::unordered_map<ContentHash, Suspect> requests_;
   std::unordered_map<std::uint64_t, std::vector<ContentHash>> by_runner_;
--- a/src/routing/latency_outliers.cc
+++ b/src/routing/latency_outliers.cc
@@ -56,7 +56,7 @@
   (outlier ? own_outliers_ : own_normal_).add(1, now);
 }
 
-void LatencyOutliers::take_report(const OutlierCounts& counts, TimePoint now) {
+void LatencyOutliers::apply_report(const OutlierCounts& counts, TimePoint now) {
   if (counts.outliers + counts.normal < reported_outliers_.value(now) + reported_normal_.value(now))
     return;
   reported_outliers_.set(counts.outliers, now);
--- a/src/routing/latency_outliers.h
+++ b/src/routing/latency_outliers.h
@@ -37,7 +37,7 @@
   /// Counts a response received by this node.
   void count(bool outlier, TimePoint now);
   /// Applies another node's counts; of several nodes the largest counts are kept.
-  void take_report(const OutlierCounts& counts, TimePoint now);
+  void apply_report(const OutlierCounts& counts, TimePoint now);
   /// Returns this node's counts, to be reported to other nodes.
   [[nodiscard]] OutlierCounts own(TimePoint now) const;
   /// Returns whether there are recent outliers enough to compare this runner with the others; most
--- a/src/routing/runner_errors.cc
+++ b/src/routing/runner_errors.cc
@@ -28,7 +28,7 @@
   (error ? own_.errors : own_.served).add(1, now);
 }
 
-void RunnerErrors::take_report(std::uint64_t node, const ResponseCounts& counts, TimePoint now) {
+void RunnerErrors::apply_report(std::uint64_t node, const ResponseCounts& counts, TimePoint now) {
   if (reported_.size() >= kMaxNodes) {
     std::erase_if(reported_, [now](const auto& entry) {
       return entry.second.errors.value(now) < kNegligibleErrors;
--- a/src/routing/runner_errors.h
+++ b/src/routing/runner_errors.h
@@ -27,7 +27,7 @@
   /// Counts a response.
   void count(bool error, TimePoint now);
   /// Replaces the counts of another node by a new report.
-  void take_report(std::uint64_t node, const ResponseCounts& counts, TimePoint now);
+  void apply_report(std::uint64_t node, const ResponseCounts& counts, TimePoint now);
   /// Returns this node's counts if they include errors worth reporting to other nodes.
   [[nodiscard]] std::optional<ResponseCounts> own_report(TimePoint now) const;
   /// Returns whether the runner fails so many of its requests that it should be ejected.
--- a/src/routing/runner_registry.cc
+++ b/src/routing/runner_registry.cc
@@ -335,7 +335,7 @@
   std::vector<Runner*> usable;
   const auto name = service_names_.find(service);
   if (name == service_names_.end()) return usable;
-  for (const auto& runner : runners_of_service(name->second)) {
+  for (const auto& runner : for_service(name->second)) {
     if (runner->record().zone == zone && runner->usable(now)) usable.push_back(runner.get());
   }
   return usable;
@@ -365,7 +365,7 @@
   return has_received ? std::optional(runner->last_receive_time()) : std::nullopt;
 }
 
-const std::vector<std::shared_ptr<Runner>>& RunnerRegistry::runners_of_service(
+const std::vector<std::shared_ptr<Runner>>& RunnerRegistry::for_service(
     const std::string& service) const {
   static const std::vector<std::shared_ptr<Runner>> kNone;
   const auto found = by_service_.find(service);
--- a/src/routing/runner_registry.h
+++ b/src/routing/runner_registry.h
@@ -111,7 +111,7 @@
   void apply_peer_ejection(const PeerEjection& ejection, TimePoint now);
   /// Applies another node's counts of responses from this runner.
   void apply_peer_response_counts(std::uint64_t node, const ResponseCounts& counts, TimePoint now) {
-    errors_.take_report(node, counts, now);
+    errors_.apply_report(node, counts, now);
   }
   /// Returns this node's counts of responses from it if they are worth reporting to other nodes.
   [[nodiscard]] std::optional<ResponseCounts> own_response_counts(TimePoint now) const {
@@ -255,7 +255,7 @@
   /// Replaces the set of runners by the directory's complete list.
   void replace_all(std::vector<RunnerRecord> records);
 
-  [[nodiscard]] const std::vector<std::shared_ptr<Runner>>& runners_of_service(
+  [[nodiscard]] const std::vector<std::shared_ptr<Runner>>& for_service(
       const std::string& service) const;
   /// Returns the runners of a zone that may receive work for a service.
   /// @param service hash of its name.
--- a/src/routing/runner_selector.cc
+++ b/src/routing/runner_selector.cc
@@ -328,7 +328,7 @@
 Selection select_runner(const RunnerRegistry& registry, const SelectionRequest& request,
                         TimePoint now) {
   Selection selection;
-  const auto& runners = registry.runners_of_service(request.service);
+  const auto& runners = registry.for_service(request.service);
   std::vector<Candidate> candidates = collect_candidates(runners, request, now);
   if (candidates.empty()) {
     selection.failure =
--- a/src/routing/runner_speed.cc
+++ b/src/routing/runner_speed.cc
@@ -204,9 +204,9 @@
   if (report.relative_time > 0) {
     runner.apply_peer_relative_time(report.relative_time / kRelativeTimeScale, report.samples);
   }
-  runner.latency_outliers().take_report({report.outlier_responses / kResponseCountScale,
-                                         report.normal_responses / kResponseCountScale},
-                                        now);
+  runner.latency_outliers().apply_report({report.outlier_responses / kResponseCountScale,
+                                          report.normal_responses / kResponseCountScale},
+                                         now);
   if (!is_valid_slowness(report.slowness_percent)) return false;
   const Duration age = std::chrono::milliseconds(report.slowness_age_ms);
   if (now - age > runner.reported_at()) {
--- a/src/tenancy/tenant_gossip.cc
+++ b/src/tenancy/tenant_gossip.cc
@@ -55,8 +55,8 @@
     if (now - left_at <= kLeaveRepeatTime && report.departed.size() < kMaxNodes)
       report.departed.push_back(node);
   }
-  for (const auto& [node, last_heard] : zone_nodes_) {
-    if (now - last_heard <= kAliveTimeout && report.nodes.size() < kMaxNodes)
+  for (const auto& [node, last_receive_time] : zone_nodes_) {
+    if (now - last_receive_time <= kAliveTimeout && report.nodes.size() < kMaxNodes)
       report.nodes.push_back(node);
   }
   for (const auto& usage : limits_.own_changes(kRepeatTime, kMaxInDigest, now)) {
--- a/src/tenancy/tenant_rate_limiter.cc
+++ b/src/tenancy/tenant_rate_limiter.cc
@@ -42,7 +42,7 @@
     if (!first) refill(bucket, now);
     bucket.limit = tenant.limit;
     // A process that has just learned of a tenant does not know the others' recent admissions.
-    if (first) bucket.level = last_heard_.empty() ? tenant.limit.burst / kAssumedNodes : 0;
+    if (first) bucket.level = last_receive_time_.empty() ? tenant.limit.burst / kAssumedNodes : 0;
     if (first) bucket.level = std::max(bucket.level, kMinCapacity);
     if (first) bucket.refilled_at = now;
     if (first) assign_shares(bucket, silent_nodes_, now);
@@ -54,8 +54,8 @@
 double TenantRateLimiter::weight_of(const Bucket& bucket, std::uint64_t node, TimePoint now) const {
   const auto found = bucket.nodes.find(node);
   if (found == bucket.nodes.end()) return kIdleWeight;
-  const TimePoint last_heard = last_heard_.at(node);
-  const TimePoint counted = now - last_heard > kSilenceTimeout ? last_heard : now;
+  const TimePoint last_receive_time = last_receive_time_.at(node);
+  const TimePoint counted = now - last_receive_time > kSilenceTimeout ? last_receive_time : now;
   return found->second.recent.value(counted) + kIdleWeight;
 }
 
@@ -67,9 +67,10 @@
 
 double TenantRateLimiter::total_weight(const Bucket& bucket, TimePoint now) const {
   const double own = bucket.own_recent.value(now) + kIdleWeight;
-  if (last_heard_.empty()) return own / isolated_share();
+  if (last_receive_time_.empty()) return own / isolated_share();
   double total = own;
-  for (const auto& [node, last_heard] : last_heard_) total += weight_of(bucket, node, now);
+  for (const auto& [node, last_receive_time] : last_receive_time_)
+    total += weight_of(bucket, node, now);
   return total;
 }
 
@@ -79,7 +80,7 @@
 void TenantRateLimiter::assign_shares(Bucket& bucket, const std::vector<std::uint64_t>& silent,
                                       TimePoint now) {
   const double total = total_weight(bucket, now);
-  if (last_heard_.empty()) {
+  if (last_receive_time_.empty()) {
     bucket.connected_share = isolated_share();
     return;
   }
@@ -139,9 +140,9 @@
 void TenantRateLimiter::on_node_heard(std::uint64_t node, TimePoint now) {
   departed_.erase(node);
   all_departed_ = false;
-  const bool first = last_heard_.empty();
+  const bool first = last_receive_time_.empty();
   if (first) refill_all(now);
-  last_heard_[node] = now;
+  last_receive_time_[node] = now;
   if (first) assign_all_shares(now);
 }
 
@@ -151,15 +152,15 @@
 
 bool TenantRateLimiter::on_node_left(std::uint64_t node, TimePoint now) {
   departed_[node] = now;
-  if (!last_heard_.contains(node)) return false;
-  all_departed_ = last_heard_.size() == 1;
+  if (!last_receive_time_.contains(node)) return false;
+  all_departed_ = last_receive_time_.size() == 1;
   remove_nodes({node}, now);
   return true;
 }
 
 void TenantRateLimiter::apply_usage(std::uint64_t node, const TenantUsage& usage, TimePoint now) {
   Bucket& bucket = bucket_of(usage.tenant);
-  const bool known_node = last_heard_.contains(node);
+  const bool known_node = last_receive_time_.contains(node);
   const auto [position, first] = bucket.nodes.try_emplace(node);
   NodeUsage& usage_of_node = position->second;
   const auto difference = static_cast<std::int32_t>(usage.admitted - usage_of_node.admitted);
@@ -208,15 +209,15 @@
 void TenantRateLimiter::update_silent_nodes(TimePoint now) {
   skip_suspension(now);
   std::vector<std::uint64_t> silent;
-  for (const auto& [node, last_heard] : last_heard_) {
-    if (now - last_heard > kSilenceTimeout) silent.push_back(node);
+  for (const auto& [node, last_receive_time] : last_receive_time_) {
+    if (now - last_receive_time > kSilenceTimeout) silent.push_back(node);
   }
-  const bool all_silent = silent.size() == last_heard_.size();
+  const bool all_silent = silent.size() == last_receive_time_.size();
   if (silent != silent_nodes_) {
     // Tokens gained until now were shared with the nodes that were connected until now.
     refill_all(now);
     for (const std::uint64_t node : silent_nodes_) {
-      if (now - last_heard_.at(node) <= kSilenceTimeout) clear_silent_share(node);
+      if (now - last_receive_time_.at(node) <= kSilenceTimeout) clear_silent_share(node);
     }
     silent_nodes_ = std::move(silent);
     assign_all_shares(now);
@@ -228,8 +229,8 @@
 void TenantRateLimiter::remove_gone_nodes(TimePoint now) {
   std::erase_if(departed_, [&](const auto& entry) { return now - entry.second > kRemovalTimeout; });
   std::vector<std::uint64_t> gone;
-  for (const auto& [node, last_heard] : last_heard_) {
-    if (now - last_heard > kRemovalTimeout) gone.push_back(node);
+  for (const auto& [node, last_receive_time] : last_receive_time_) {
+    if (now - last_receive_time > kRemovalTimeout) gone.push_back(node);
   }
   if (!gone.empty()) remove_nodes(gone, now);
 }
@@ -238,12 +239,12 @@
 void TenantRateLimiter::remove_nodes(const std::vector<std::uint64_t>& nodes, TimePoint now) {
   refill_all(now);
   for (const std::uint64_t node : nodes) {
-    last_heard_.erase(node);
+    last_receive_time_.erase(node);
     std::erase(silent_nodes_, node);
   }
   for (auto& [tenant, bucket] : buckets_) {
     std::erase_if(bucket.nodes,
-                  [&](const auto& entry) { return !last_heard_.contains(entry.first); });
+                  [&](const auto& entry) { return !last_receive_time_.contains(entry.first); });
   }
   assign_all_shares(now);
 }
--- a/src/tenancy/tenant_rate_limiter.h
+++ b/src/tenancy/tenant_rate_limiter.h
@@ -124,7 +124,7 @@
 
   std::unordered_map<std::uint64_t, Bucket> buckets_;  ///< By hash of the tenant's name.
   /// Other nodes and when they were last heard from.
-  std::map<std::uint64_t, TimePoint> last_heard_;
+  std::map<std::uint64_t, TimePoint> last_receive_time_;
   std::vector<std::uint64_t> silent_nodes_;      ///< Those of them that are silent.
   std::map<std::uint64_t, TimePoint> departed_;  ///< Nodes that left as planned, and when.
   std::deque<Change> own_changes_;               ///< Oldest first.
--- a/tests/platform/malformed_runner_entries_test.cc
+++ b/tests/platform/malformed_runner_entries_test.cc
@@ -169,7 +169,7 @@
 
 TEST_F(MalformedRunnerEntriesTest, RunnerOfUnknownServiceServesNoOtherService) {
   EXPECT_TRUE(is_accepted(with_field("service", R"("unheard of")")));
-  EXPECT_TRUE(context.runners.runners_of_service("s").empty());
+  EXPECT_TRUE(context.runners.for_service("s").empty());
 }
 
 TEST(MalformedConfigurationTest, OutOfRangeNumbersAreClamped) {
--- a/tests/platform/runner_restarts_test.cc
+++ b/tests/platform/runner_restarts_test.cc
@@ -83,7 +83,7 @@
   EXPECT_FALSE(after->zone_load_known(now));
   EXPECT_EQ(after->last_receive_time(), TimePoint{});
   EXPECT_FALSE(before->available());
-  EXPECT_EQ(context.runners.runners_of_service("chat").size(), 1U);
+  EXPECT_EQ(context.runners.for_service("chat").size(), 1U);
 }
 
 TEST_F(RunnerRestartsTest, AttemptsAtOlderInstanceDoNotAffectNewInstance) {
@@ -212,13 +212,13 @@
   before->begin_attempt();
   fail_until_ejected(*before);
   drop("r1");
-  EXPECT_TRUE(context.runners.runners_of_service("chat").empty());
+  EXPECT_TRUE(context.runners.for_service("chat").empty());
   list("r1", kFirstStart);
   EXPECT_EQ(runner("r1")->in_flight(), 1U);
   EXPECT_TRUE(runner("r1")->ejected(monotonic_now()));
   // The same holds for resets, one while the entry is absent and one after it is back.
   sink.reset({});
-  EXPECT_TRUE(context.runners.runners_of_service("chat").empty());
+  EXPECT_TRUE(context.runners.for_service("chat").empty());
   sink.reset({{offset++, "r1", entry(kFirstStart)}});
   EXPECT_EQ(runner("r1")->in_flight(), 1U);
 }
--- a/tests/quarantine/quarantine_fleet_test.cc
+++ b/tests/quarantine/quarantine_fleet_test.cc
@@ -111,8 +111,8 @@
     node.local = {};
     node.quarantine =
         std::make_unique<Quarantine>([this](std::uint64_t runner) -> std::optional<TimePoint> {
-          const auto found = last_heard_.find(runner);
-          return found == last_heard_.end() ? std::nullopt : std::optional(found->second);
+          const auto found = last_receive_time_.find(runner);
+          return found == last_receive_time_.end() ? std::nullopt : std::optional(found->second);
         });
     node.quarantine->set_quarantined_handler([this](ContentHash content, std::size_t ends) {
       const QuarantineRecord record{0, static_cast<std::uint32_t>(ends)};
@@ -186,7 +186,7 @@
     bool ends = false;
     std::vector<Run> done;
     for (const Run& run : runner.runs) {
-      if (!is_poison(run.content) && now_ >= run.begins) last_heard_[runner.id] = now_;
+      if (!is_poison(run.content) && now_ >= run.begins) last_receive_time_[runner.id] = now_;
       if (now_ < run.ends) continue;
       if (is_poison(run.content)) ends = true;
       if (!is_poison(run.content)) done.push_back(run);
@@ -278,7 +278,7 @@
   std::vector<Node> nodes_;
   std::vector<Runner> runners_;
   std::vector<Message> messages_;
-  std::map<std::uint64_t, TimePoint> last_heard_;
+  std::map<std::uint64_t, TimePoint> last_receive_time_;
   std::map<ContentHash, std::pair<TimePoint, QuarantineRecord>> records_;
   std::map<ContentHash, QuarantineRecord> delivered_;
   std::map<std::uint64_t, std::vector<TimePoint>> poison_sends_;
--- a/tests/quarantine/runner_exit_table_test.cc
+++ b/tests/quarantine/runner_exit_table_test.cc
@@ -15,8 +15,8 @@
  protected:
   RunnerExitTableTest()
       : table([this](std::uint64_t runner) -> std::optional<TimePoint> {
-          const auto found = last_heard.find(runner);
-          return found == last_heard.end() ? std::nullopt : std::optional(found->second);
+          const auto found = last_receive_time.find(runner);
+          return found == last_receive_time.end() ? std::nullopt : std::optional(found->second);
         }) {}
 
   static TimePoint at(int seconds) { return TimePoint{} + std::chrono::seconds(seconds); }
@@ -25,7 +25,7 @@
     table.add({content, runner, stage, at(static_cast<int>(runner))});
   }
 
-  std::map<std::uint64_t, TimePoint> last_heard;
+  std::map<std::uint64_t, TimePoint> last_receive_time;
   RunnerExitTable table;
 };
 
@@ -78,14 +78,14 @@
 TEST_F(RunnerExitTableTest, IgnoresExitsOfRunnersHeardLater) {
   for (std::uint64_t runner = 1; runner <= 3; ++runner) add_exit(kInnocentRequest, runner);
   EXPECT_TRUE(table.over_limit(kInnocentRequest));
-  last_heard[2] = at(2) + std::chrono::milliseconds(400);
+  last_receive_time[2] = at(2) + std::chrono::milliseconds(400);
   EXPECT_FALSE(table.over_limit(kInnocentRequest));
 }
 
 TEST_F(RunnerExitTableTest, ToleratesReportsFromJustAfterTheExit) {
   for (std::uint64_t runner = 1; runner <= 3; ++runner) {
     add_exit(kPoisonRequest, runner);
-    last_heard[runner] = at(static_cast<int>(runner)) + std::chrono::milliseconds(100);
+    last_receive_time[runner] = at(static_cast<int>(runner)) + std::chrono::milliseconds(100);
   }
   EXPECT_TRUE(table.over_limit(kPoisonRequest));
 }
--- a/tests/routing/latency_outliers_test.cc
+++ b/tests/routing/latency_outliers_test.cc
@@ -75,9 +75,9 @@
   for (std::size_t i = 0; i < kRunners; ++i) feed_responses(i, 0, 10);
   runners[3] = {};
   feed_responses(3, 1, 0);
-  for (int i = 0; i < 5; ++i) runners[3].take_report({.outliers = 1, .normal = 0}, kStart);
+  for (int i = 0; i < 5; ++i) runners[3].apply_report({.outliers = 1, .normal = 0}, kStart);
   EXPECT_EQ(verdicts()[3], OutlierVerdict::kOnProbation);
-  runners[3].take_report({.outliers = 2, .normal = 0}, kStart);
+  runners[3].apply_report({.outliers = 2, .normal = 0}, kStart);
   EXPECT_EQ(verdicts()[3], OutlierVerdict::kAvoided);
 }
 
--- a/tests/routing/runner_errors_test.cc
+++ b/tests/routing/runner_errors_test.cc
@@ -36,12 +36,12 @@
   second.count(true, kStart);
   const auto report = first.own_report(kStart);
   ASSERT_TRUE(report);
-  second.take_report(7, *report, kStart);
+  second.apply_report(7, *report, kStart);
   EXPECT_TRUE(second.has_high_error_rate(kStart));
   // A repeated report counts once.
   RunnerErrors third;
-  third.take_report(7, *report, kStart);
-  third.take_report(7, *report, kStart);
+  third.apply_report(7, *report, kStart);
+  third.apply_report(7, *report, kStart);
   EXPECT_FALSE(third.has_high_error_rate(kStart));
 }
 
--- a/tests/routing/runner_registry_test.cc
+++ b/tests/routing/runner_registry_test.cc
@@ -16,9 +16,9 @@
 TEST(RunnerRegistryTest, RemovedRunnerIsUnavailableToExistingReferences) {
   RunnerRegistry registry;
   registry.upsert(make_record("r1"));
-  const auto held = registry.runners_of_service("chat").front();
+  const auto held = registry.for_service("chat").front();
   registry.remove("r1");
-  EXPECT_TRUE(registry.runners_of_service("chat").empty());
+  EXPECT_TRUE(registry.for_service("chat").empty());
   EXPECT_FALSE(held->available());
 }
 
@@ -43,8 +43,8 @@
   RunnerRegistry registry;
   registry.upsert(make_record("r1"));
   registry.replace_all({make_record("r2")});
-  ASSERT_EQ(registry.runners_of_service("chat").size(), 1U);
-  EXPECT_EQ(registry.runners_of_service("chat").front()->record().id, "r2");
+  ASSERT_EQ(registry.for_service("chat").size(), 1U);
+  EXPECT_EQ(registry.for_service("chat").front()->record().id, "r2");
 }
 
 TEST(RunnerTest, LoadIncludesOwnPeerAndReportedRequests) {
