--- a/src/gateway/fair_shares.cc
+++ b/src/gateway/fair_shares.cc
@@ -23,7 +23,7 @@
 /// Maximum number of pairs of service and tenant with metrics of their own; it bounds the metrics
 /// page to some hundred lines for them.
 constexpr std::size_t kMaxRows = 200;
-/// From this turn on a tenant is above its fair share; below it the turn only orders the tenant's
+/// From this rank on a tenant is above its fair share; below it the rank only orders the tenant's
 /// routes.
 constexpr double kAboveShare = 1;
 
@@ -32,11 +32,11 @@
   return {mix_hashes(stable_hash(request.selection.service), work), stable_hash(request.tenant)};
 }
 
-FairShareRequest turn_request(const PlacementRequest& request) {
+FairShareRequest ranked_request(const PlacementRequest& request) {
   return {share_key(request), stable_hash(request.route), request.slot_time};
 }
 
-RequestClass request_kind(const PlacementRequest& request) {
+RequestClass request_class(const PlacementRequest& request) {
   return {request.selection.service, request.route, request.priority};
 }
 
@@ -71,56 +71,59 @@
   }
 }
 
-void FairShares::register_with(PlacementPolicy& decisions) {
-  decisions.fair_share_rank = [this](const PlacementRequest& request, TimePoint now) {
-    return turn(request, now);
+void FairShares::register_with(PlacementPolicy& placement_policy) {
+  placement_policy.fair_share_rank = [this](const PlacementRequest& request, TimePoint now) {
+    return fair_share_rank(request, now);
   };
-  decisions.on_placed = [this](const PlacementRequest& request, TimePoint now) {
-    placed(request, now);
+  placement_policy.on_placed = [this](const PlacementRequest& request, TimePoint now) {
+    on_placed(request, now);
   };
-  decisions.on_unplaced = [this](const PlacementRequest& request, TimePoint now) {
-    left(request, now);
+  placement_policy.on_unplaced = [this](const PlacementRequest& request, TimePoint now) {
+    on_unplaced(request, now);
+  };
+  placement_policy.yields_to_peers = [this](const PlacementRequest& request) {
+    return yields_to_peers(request);
   };
-  decisions.yields_to_peers = [this](const PlacementRequest& request) { return yields(request); };
   // Fair shares take precedence: with tenants, new requests are not deferred in favor of retries,
   // which may be those of a tenant that floods the service.
-  decisions.may_yield_to_booked_retries = [this](const PlacementRequest& request) {
+  placement_policy.may_yield_to_booked_retries = [this](const PlacementRequest& request) {
     return !has_tenants_ && has_lowest_priority(request);
   };
 }
 
-double FairShares::turn(const PlacementRequest& request, TimePoint now) {
+double FairShares::fair_share_rank(const PlacementRequest& request, TimePoint now) {
   if (now - last_maintenance_ > kMaintenanceInterval) {
     last_maintenance_ = now;
-    turns_.remove_inactive(now);
+    ranker_.remove_inactive(now);
     log_inversions(now);
   }
   if (!policy_.uses_fair_shares) {
-    turns_.add_waiting(turn_request(request), now);
+    ranker_.add_waiting(ranked_request(request), now);
     return 0;
   }
-  const double turn = turns_.add_and_rank(turn_request(request), now);
-  if (turn >= kAboveShare) log_above_share(request, now);
-  return turn;
+  const double rank = ranker_.add_and_rank(ranked_request(request), now);
+  if (rank >= kAboveShare) log_above_share(request, now);
+  return rank;
 }
 
-void FairShares::placed(const PlacementRequest& request, TimePoint now) {
-  const Duration granted = turns_.on_placed(turn_request(request), now);
+void FairShares::on_placed(const PlacementRequest& request, TimePoint now) {
+  const Duration granted = ranker_.on_placed(ranked_request(request), now);
   counts_for(request).granted_seconds += to_seconds(granted);
   const bool in_time = now < request.due;
-  kinds_.record(request_kind(request), in_time ? WaitOutcome::kInTime : WaitOutcome::kLate, now);
+  inversion_monitor_.record(request_class(request),
+                            in_time ? WaitOutcome::kInTime : WaitOutcome::kLate, now);
 }
 
-void FairShares::left(const PlacementRequest& request, TimePoint now) {
-  turns_.on_unplaced(turn_request(request));
+void FairShares::on_unplaced(const PlacementRequest& request, TimePoint now) {
+  ranker_.on_unplaced(ranked_request(request));
   // A batch item that got no slot is queued again.
   if (request.work == WorkClass::kBatch) return;
-  kinds_.record(request_kind(request), WaitOutcome::kNotPlaced, now);
+  inversion_monitor_.record(request_class(request), WaitOutcome::kNotPlaced, now);
 }
 
 /// Priorities are not exchanged between nodes, so only online work of the lowest priority yields to
 /// the requests of other nodes.
-bool FairShares::yields(const PlacementRequest& request) const {
+bool FairShares::yields_to_peers(const PlacementRequest& request) const {
   return request.fair_share_rank >= kAboveShare && request.work == WorkClass::kOnline &&
          has_lowest_priority(request);
 }
@@ -163,12 +166,12 @@
             {{"service", request.selection.service},
              {"tenant", request.tenant},
              {"route", request.route},
-             {"times_part", decimal_text(turns_.share_ratio(key, now))},
+             {"times_part", decimal_text(ranker_.share_ratio(key, now))},
              {"waiting_slot_s", decimal_text(ledger_.waiting_seconds(key))}});
 }
 
 void FairShares::log_inversions(TimePoint now) {
-  for (const PriorityInversion& inversion : kinds_.inversions(now)) {
+  for (const PriorityInversion& inversion : inversion_monitor_.inversions(now)) {
     log_event(Event::kUrgentKindServedLess,
               {{"service", inversion.urgent.service},
                {"route", inversion.urgent.route},
@@ -182,7 +185,7 @@
   std::vector<TenantShareRow> rows;
   for (const auto& [name, count] : tenants_) {
     rows.push_back({name.first, name.second, ledger_.waiting_seconds(count.key),
-                    count.granted_seconds, turns_.share_ratio(count.key, now)});
+                    count.granted_seconds, ranker_.share_ratio(count.key, now)});
   }
   return rows;
 }
--- a/src/gateway/fair_shares.h
+++ b/src/gateway/fair_shares.h
@@ -35,14 +35,14 @@
 /// the policy must outlive it.
 class FairShares {
  public:
-  explicit FairShares(const LoadPolicy& policy) : policy_(policy), turns_(ledger_) {}
+  explicit FairShares(const LoadPolicy& policy) : policy_(policy), ranker_(ledger_) {}
   FairShares(const FairShares&) = delete;
   FairShares& operator=(const FairShares&) = delete;
 
   /// Applies the tenants' weights and the priorities of a new configuration.
   void configure(const ServingConfiguration& configuration);
   /// Sets the callbacks of a placement queue that are decided by fair shares.
-  void register_with(PlacementPolicy& decisions);
+  void register_with(PlacementPolicy& placement_policy);
   /// Returns the handlers that write and read this part of the digests within the zone.
   [[nodiscard]] DigestPart digest_part();
   /// Adds this node's slot usage to a digest; does nothing while the policy does not share fairly.
@@ -51,7 +51,9 @@
   void apply_digest(const LoadDigest& digest, TimePoint now);
 
   [[nodiscard]] std::vector<TenantShareRow> tenant_rows(TimePoint now) const;
-  [[nodiscard]] const PriorityInversionMonitor& kinds() const { return kinds_; }
+  [[nodiscard]] const PriorityInversionMonitor& inversion_monitor() const {
+    return inversion_monitor_;
+  }
 
  private:
   /// Names and counters of one tenant at one service.
@@ -62,10 +64,10 @@
   };
   using TenantCounts = std::map<std::pair<std::string, std::string>, TenantCount>;
 
-  double turn(const PlacementRequest& request, TimePoint now);
-  void placed(const PlacementRequest& request, TimePoint now);
-  void left(const PlacementRequest& request, TimePoint now);
-  [[nodiscard]] bool yields(const PlacementRequest& request) const;
+  double fair_share_rank(const PlacementRequest& request, TimePoint now);
+  void on_placed(const PlacementRequest& request, TimePoint now);
+  void on_unplaced(const PlacementRequest& request, TimePoint now);
+  [[nodiscard]] bool yields_to_peers(const PlacementRequest& request) const;
   [[nodiscard]] bool has_lowest_priority(const PlacementRequest& request) const;
   void log_above_share(const PlacementRequest& request, TimePoint now);
   void log_inversions(TimePoint now);
@@ -73,8 +75,8 @@
 
   const LoadPolicy& policy_;
   SlotTimeLedger ledger_;
-  FairShareRanker turns_;
-  PriorityInversionMonitor kinds_;
+  FairShareRanker ranker_;
+  PriorityInversionMonitor inversion_monitor_;
   TenantCounts tenants_;
   /// Lowest priority (greatest number) of online work that a route or tenant has, by service.
   std::unordered_map<std::string, std::uint32_t> lowest_priority_;
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -165,7 +165,7 @@
   const std::string kind(kind_name(route.kind));
   ++context_.metrics.requests[{kind, std::string(to_string(outcome))}];
   if (outcome == RequestOutcome::kServed) {
-    context_.start_progress.mark_reached(StartupStep::kFirstRequestServed, monotonic_now());
+    context_.startup.mark_reached(StartupStep::kFirstRequestServed, monotonic_now());
   }
   const Event event =
       outcome == RequestOutcome::kServed ? Event::kRequestServed : Event::kRequestEnded;
--- a/src/gateway/gateway_context.h
+++ b/src/gateway/gateway_context.h
@@ -109,7 +109,7 @@
   UpstreamPool pool;
   Quarantine quarantine;
   GatewayMetrics metrics;
-  StartupProgress start_progress{monotonic_now()};
+  StartupProgress startup{monotonic_now()};
   TenantRateLimiter tenant_limits;
   DurationsByRoute first_event_times;            ///< From sending a request to its first event.
   ResponseDurationEstimator response_durations;  ///< Of batch items.
--- a/src/gateway/metrics_page.cc
+++ b/src/gateway/metrics_page.cc
@@ -241,11 +241,11 @@
   families.insert(families.end(), {std::move(granted), std::move(waiting), std::move(usage_ratio)});
 }
 
-MetricFamily waits_by_kind(const PriorityInversionMonitor& kinds) {
+MetricFamily waits_by_class(const PriorityInversionMonitor& monitor) {
   MetricFamily family =
       make_family("stoathold_slot_waits_total",
                   "Waits for a slot by kind of request and how they ended.", MetricType::Counter);
-  for (const auto& [kind, counts] : kinds.classes()) {
+  for (const auto& [kind, counts] : monitor.classes()) {
     for (const WaitOutcome outcome : kWaitOutcomes) {
       add_counter(family,
                   {make_label("service", kind.service), make_label("route", kind.route),
@@ -356,7 +356,7 @@
                                        metrics.refusals));
   families.push_back(tenant_requests(metrics));
   add_shares(context.shares, families);
-  families.push_back(waits_by_kind(context.shares.kinds()));
+  families.push_back(waits_by_class(context.shares.inversion_monitor()));
   families.push_back(gauge("stoathold_silent_nodes",
                            "Nodes that keep their share of each limit since nobody hears them.",
                            static_cast<double>(context.tenant_limits.silent_nodes())));
--- a/src/gateway/online_admission.cc
+++ b/src/gateway/online_admission.cc
@@ -61,7 +61,7 @@
                                                  const std::string& tenant, std::uint32_t priority,
                                                  std::optional<ContentHash> content) {
   const TimePoint now = monotonic_now();
-  if (content && retrying_callers_.consume(value_of(*content), now)) {
+  if (content && retry_bookings_.consume(value_of(*content), now)) {
     ++counters_.retried;
     ++tenant_counts(tenant)["came"];
     return AdmissionClass::kBookedRetry;
@@ -84,18 +84,17 @@
   if (!rejection.has_booking || !rejection.retry_after) return;
   ++counters_.promised;
   const TimePoint now = monotonic_now();
-  retrying_callers_.book(value_of(content), stable_hash(service), now + *rejection.retry_after,
-                         now);
+  retry_bookings_.book(value_of(content), stable_hash(service), now + *rejection.retry_after, now);
 }
 
 std::uint32_t OnlineAdmission::expected_retries_within(const std::string& service, Duration ahead,
                                                        TimePoint now) const {
-  if (retrying_callers_.empty()) return 0;
+  if (retry_bookings_.empty()) return 0;
   std::uint32_t expected = 0;
   const std::uint64_t hash = stable_hash(service);
   // Retries of the current and of the previous booking bin may still be in transit.
   for (Duration at = -RetryBookings::kBookingBin; at <= ahead; at += RetryBookings::kBookingBin) {
-    expected += retrying_callers_.booked_at(hash, now + at);
+    expected += retry_bookings_.booked_at(hash, now + at);
   }
   return expected;
 }
@@ -137,8 +136,8 @@
   RejectionInputs inputs;
   inputs.figures = backlog_.statistics(hash, saturated_priority(request.priority), now);
   inputs.capacity = slot_capacity(service, now);
-  const ArrivalRateForecaster* swing = backlog_.arrival_forecaster(hash, now);
-  inputs.arrivals_per_second = swing == nullptr ? 0 : swing->recent_rate();
+  const ArrivalRateForecaster* forecaster = backlog_.arrival_forecaster(hash, now);
+  inputs.arrivals_per_second = forecaster == nullptr ? 0 : forecaster->recent_rate();
   const auto forecast =
       predict_wait(position, inputs.figures, inputs.capacity, inputs.arrivals_per_second);
   if (!forecast) return std::nullopt;
@@ -158,7 +157,7 @@
        .wait = inputs.forecast.wait,
        .slots_freed_per_second = slots_freed_per_second(inputs.figures, inputs.capacity.zone),
        .forecaster = backlog_.arrival_forecaster(service, now)},
-      retrying_callers_, process_random());
+      retry_bookings_, process_random());
 }
 
 std::optional<PlacementRejection> OnlineAdmission::review(const PlacementRequest& request,
@@ -166,7 +165,7 @@
                                                           TimePoint now) {
   if (!active() || request.latest_start == TimePoint{}) return std::nullopt;
   const auto inputs = rejection_inputs(request, position, now);
-  AdmissionInput wait{.admission_class = request.standing,
+  AdmissionInput wait{.admission_class = request.admission_class,
                       .arrival = request.arrival,
                       .due = request.due,
                       .latest_start = request.latest_start,
@@ -185,7 +184,7 @@
              {"route", request.route},
              {"tenant", request.tenant},
              {"reason", std::string(to_string(*reason))},
-             {"returned", request.standing == AdmissionClass::kBookedRetry ? "yes" : "no"},
+             {"returned", request.admission_class == AdmissionClass::kBookedRetry ? "yes" : "no"},
              {"age_ms", milliseconds_text(now - request.arrival)},
              {"due_ms", milliseconds_text(request.due - now)},
              {"last_start_ms", milliseconds_text(request.latest_start - now)},
@@ -210,13 +209,12 @@
 void OnlineAdmission::add_reports(LoadDigest& digest, TimePoint now) {
   if (!active()) return;
   digest.backlogs = backlog_.report(placement_.waiting_in_time(now));
-  digest.returns = retrying_callers_.report(kMaxRetryReports, now);
+  digest.returns = retry_bookings_.report(kMaxRetryReports, now);
 }
 
 void OnlineAdmission::apply_reports(const LoadDigest& digest, TimePoint now) {
   backlog_.apply_report(digest.sender, digest.backlogs, now);
-  for (const RetryBookingReport& report : digest.returns)
-    retrying_callers_.apply_report(report, now);
+  for (const RetryBookingReport& report : digest.returns) retry_bookings_.apply_report(report, now);
 }
 
 std::string OnlineAdmission::render_waiting_requests() {
@@ -240,7 +238,7 @@
              << " predicted_ms=" << milliseconds_text(inputs->forecast.wait)
              << " oldest_report_ms=" << milliseconds_text(inputs->figures.oldest_report);
       }
-      page << (request.standing == AdmissionClass::kBookedRetry ? " returned\n" : "\n");
+      page << (request.admission_class == AdmissionClass::kBookedRetry ? " returned\n" : "\n");
     };
     placement_.visit_online(service, list, now);
   }
--- a/src/gateway/online_admission.h
+++ b/src/gateway/online_admission.h
@@ -45,7 +45,7 @@
   [[nodiscard]] bool active() const { return policy_.predicts_wait_times; }
   /// Returns whether any caller is expected to retry; only then is the content hash of a request
   /// needed to recognize it.
-  [[nodiscard]] bool expects_retries() const { return active() && !retrying_callers_.empty(); }
+  [[nodiscard]] bool expects_retries() const { return active() && !retry_bookings_.empty(); }
   /// Records the arrival of a request and returns whether it is new or an expected retry.
   /// @param content hash of the request's content; `nullopt` if no retries are expected.
   AdmissionClass classify_arrival(const std::string& service, const std::string& tenant,
@@ -97,7 +97,7 @@
     LatencyHistogram predicted_wait;  ///< Of requests that found no free slot on arrival.
   };
   [[nodiscard]] const Counters& counters() const { return counters_; }
-  [[nodiscard]] std::size_t expected_retries() const { return retrying_callers_.size(); }
+  [[nodiscard]] std::size_t expected_retries() const { return retry_bookings_.size(); }
   /// Returns a plain-text listing of the requests that wait for each service, in queue order, with
   /// the inputs of their predicted waits.
   [[nodiscard]] std::string render_waiting_requests();
@@ -122,7 +122,7 @@
   std::string zone_;
   ZoneBacklog backlog_;
   SlotTimeEstimator slot_times_;
-  RetryBookings retrying_callers_;
+  RetryBookings retry_bookings_;
   Counters counters_;
   struct CachedCapacity {
     SlotCapacity capacity;
--- a/src/gateway/online_request.h
+++ b/src/gateway/online_request.h
@@ -99,7 +99,7 @@
   boost::asio::awaitable<std::shared_ptr<Runner>> acquire_slot();
   void limit_wait(PlacementRequest& request);
   [[nodiscard]] TimePoint caller_timeout_at(TimePoint since) const;
-  [[nodiscard]] AdmissionClass standing();
+  [[nodiscard]] AdmissionClass admission_class();
   void record_slot_release(AttemptResult result);
   [[nodiscard]] std::uint32_t priority() const {
     return caller_.priority.value_or(route_.priority);
@@ -130,7 +130,8 @@
   Timer runner_queue_timer_;
   std::shared_ptr<PlacementTicket> ticket_;
   std::optional<PlacementRejection> rejection_;  ///< Result of the last wait for a slot.
-  std::optional<AdmissionClass> standing_;       ///< Set on the first call of `standing()`.
+  std::optional<AdmissionClass>
+      admission_class_;                ///< Set on the first call of `admission_class()`.
   std::uint32_t uncached_tokens_ = 0;  ///< Of the current attempt, until its response begins.
   std::shared_ptr<UpstreamExchange> upstream_;
   Duration silence_timeout_{0};  ///< Silence after which the attempt is abandoned; 0: no limit.
--- a/src/gateway/online_wait.cc
+++ b/src/gateway/online_wait.cc
@@ -90,19 +90,20 @@
   return std::min(deadline_, since + patience);
 }
 
-AdmissionClass OnlineRequest::standing() {
-  if (!standing_) {
+AdmissionClass OnlineRequest::admission_class() {
+  if (!admission_class_) {
     std::optional<ContentHash> content;
     if (context_.admission.expects_retries()) content = quarantine_check_.content();
-    standing_ = context_.admission.classify_arrival(service_, caller_.tenant, priority(), content);
+    admission_class_ =
+        context_.admission.classify_arrival(service_, caller_.tenant, priority(), content);
   }
-  return head_sent_ || runs_ > 0 ? AdmissionClass::kStarted : *standing_;
+  return head_sent_ || runs_ > 0 ? AdmissionClass::kStarted : *admission_class_;
 }
 
 /// A slot is wasted on a request whose caller has left before the first event. The latest start
 /// therefore leaves the usual time to the first event before the caller's timeout.
 void OnlineRequest::limit_wait(PlacementRequest& request) {
-  request.standing = standing();
+  request.admission_class = admission_class();
   request.slot_time = context_.admission.slot_time(route_.name);
   const TimePoint since = head_sent_ ? monotonic_now() : arrival_;
   request.first_event_deadline = caller_timeout_at(since);
--- a/src/jobs/item_run.cc
+++ b/src/jobs/item_run.cc
@@ -136,7 +136,7 @@
   runner_work_ = choice.runner_work();
   ticket_.reset();
   if (runner) log_selection(choice, schedule);
-  if (runner) context_.start_progress.mark_reached(StartupStep::kFirstItemPlaced, monotonic_now());
+  if (runner) context_.startup.mark_reached(StartupStep::kFirstItemPlaced, monotonic_now());
   co_return runner;
 }
 
--- a/src/jobs/job_runner.cc
+++ b/src/jobs/job_runner.cc
@@ -54,7 +54,7 @@
           context.executor, log, settings_.member_name,
           SlotHandlers{
               [this](const std::set<std::uint32_t>&) {
-                context_.start_progress.mark_reached(StartupStep::kFirstSlotsHeld, monotonic_now());
+                context_.startup.mark_reached(StartupStep::kFirstSlotsHeld, monotonic_now());
                 store_.set_running_jobs(true);
                 store_.for_each_job(
                     [this](const JobKey& key, const JobEntry& job) { on_job_changed(key, job); });
--- a/src/net/server_resource_limits.h
+++ b/src/net/server_resource_limits.h
@@ -46,8 +46,8 @@
   std::function<void(const OverloadEvent&)> on_overload;  ///< Must not call the server.
 
   [[nodiscard]] bool limited() const { return budget != nullptr && budget->limited(); }
-  void report(const OverloadEvent& shortage) const {
-    if (on_overload) on_overload(shortage);
+  void report(const OverloadEvent& event) const {
+    if (on_overload) on_overload(event);
   }
 };
 
--- a/src/routing/load_messages.h
+++ b/src/routing/load_messages.h
@@ -104,20 +104,20 @@
   /// Nodes of the sender's zone from which it has received a message recently; sent periodically.
   std::vector<NodeEndpoint> neighbours;
   std::uint64_t configuration_version = 0;  ///< Version in force at the sender; 0: none yet.
-  std::vector<TenantUsage> tenants;      ///< Usage that the sender admitted; inside the zone only.
-  std::vector<RunnerAnswers> answers;    ///< Inside the zone only.
-  std::vector<RouteStreamRate> paces;    ///< Estimates of the sender; sent periodically.
-  std::vector<ServiceBacklog> backlogs;  ///< Inside the zone only.
-  std::vector<SlotTimeReport> share_uses;    ///< Inside the zone only.
-  std::vector<SpeedReport> speeds;           ///< Inside the zone only.
-  std::vector<RetryBookingReport> returns;   ///< Inside the zone only.
-  std::vector<BatchQueueDepth> batch_waits;  ///< Inside the zone only.
+  std::vector<TenantUsage> tenants;    ///< Usage that the sender admitted; inside the zone only.
+  std::vector<RunnerAnswers> answers;  ///< Inside the zone only.
+  std::vector<RouteStreamRate> stream_rates;  ///< Estimates of the sender; sent periodically.
+  std::vector<ServiceBacklog> backlogs;       ///< Inside the zone only.
+  std::vector<SlotTimeReport> share_uses;     ///< Inside the zone only.
+  std::vector<SpeedReport> speeds;            ///< Inside the zone only.
+  std::vector<RetryBookingReport> returns;    ///< Inside the zone only.
+  std::vector<BatchQueueDepth> batch_waits;   ///< Inside the zone only.
   bool leaving = false;  ///< The sender is shutting down and admits no more requests.
 
   template <typename Archive>
   void serialize(Archive& archive) {
     archive(sender, sequence, zone, uses, ejected, demand, origin, forward, neighbours);
-    archive(configuration_version, tenants, answers, paces);
+    archive(configuration_version, tenants, answers, stream_rates);
     archive(backlogs, share_uses, speeds, returns, batch_waits, leaving);
   }
 };
--- a/src/routing/peer_loads.cc
+++ b/src/routing/peer_loads.cc
@@ -143,7 +143,8 @@
     zone_nodes_.record_message(endpoint, now);
     zone_nodes_.add_reported(digest.neighbours, socket_.local_endpoint(), now);
     apply_ejections(digest, now);
-    if (pace_listener_) std::for_each(digest.paces.begin(), digest.paces.end(), pace_listener_);
+    if (stream_rate_listener_)
+      std::for_each(digest.stream_rates.begin(), digest.stream_rates.end(), stream_rate_listener_);
     apply_tenant_reports(digest, now);
     for (const DigestPart& part : digest_parts_) part.apply(digest, now);
     if (version_listener_) {
@@ -279,7 +280,7 @@
   if (version_source_) digest.configuration_version = version_source_();
   if (full_report) {
     digest.neighbours = zone_nodes_.live_nodes(last_sent_);
-    if (pace_source_) digest.paces = pace_source_();
+    if (stream_rate_source_) digest.stream_rates = stream_rate_source_();
     last_full_report_ = last_sent_;
   }
   for (const DigestPart& part : digest_parts_) part.add(digest, full_report, last_sent_);
--- a/src/routing/peer_loads.h
+++ b/src/routing/peer_loads.h
@@ -86,11 +86,11 @@
   void set_version_listener(VersionListener listener) { version_listener_ = std::move(listener); }
   /// Shares estimates of routes' response times: `source` returns those of this node, `listener`
   /// receives those of other nodes.
-  using PaceSource = std::function<std::vector<RouteStreamRate>()>;
-  using PaceListener = std::function<void(const RouteStreamRate&)>;
-  void share_paces(PaceSource source, PaceListener listener) {
-    pace_source_ = std::move(source);
-    pace_listener_ = std::move(listener);
+  using StreamRateSource = std::function<std::vector<RouteStreamRate>()>;
+  using StreamRateListener = std::function<void(const RouteStreamRate&)>;
+  void share_stream_rates(StreamRateSource source, StreamRateListener listener) {
+    stream_rate_source_ = std::move(source);
+    stream_rate_listener_ = std::move(listener);
   }
   /// Adds a part to the digests inside the zone.
   void add_digest_part(DigestPart part) { digest_parts_.push_back(std::move(part)); }
@@ -176,8 +176,8 @@
   Quarantine* quarantine_ = nullptr;  ///< Null: terminations are not reported.
   std::function<std::uint64_t()> version_source_;
   VersionListener version_listener_;
-  PaceSource pace_source_;
-  PaceListener pace_listener_;
+  StreamRateSource stream_rate_source_;
+  StreamRateListener stream_rate_listener_;
   std::vector<DigestPart> digest_parts_;
   SlotExchange* slot_exchange_ = nullptr;  ///< Null: zones lend no slots.
   std::string buffer_;
--- a/src/routing/placement_queue.cc
+++ b/src/routing/placement_queue.cc
@@ -39,8 +39,8 @@
 bool PlacementQueue::precedes(const PlacementTicket& left, const PlacementTicket& right) {
   const auto rank = [](const PlacementTicket& ticket) {
     const PlacementRequest& request = ticket.request_;
-    const bool newcomer = request.standing == AdmissionClass::kNewRequest;
-    return std::tuple(request.work, request.priority, request.fair_share_rank, newcomer,
+    const bool new_request = request.admission_class == AdmissionClass::kNewRequest;
+    return std::tuple(request.work, request.priority, request.fair_share_rank, new_request,
                       request.due, ticket.number_);
   };
   return rank(left) < rank(right);
@@ -200,8 +200,8 @@
 
 bool PlacementQueue::yields_slots(const PlacementRequest& request) const {
   if (policy_.yields_to_peers && policy_.yields_to_peers(request)) return true;
-  const bool newcomer = request.standing == AdmissionClass::kNewRequest;
-  return newcomer && is_online(request) && policy_.expects_booked_retries &&
+  const bool new_request = request.admission_class == AdmissionClass::kNewRequest;
+  return new_request && is_online(request) && policy_.expects_booked_retries &&
          policy_.may_yield_to_booked_retries && policy_.may_yield_to_booked_retries(request) &&
          policy_.expects_booked_retries(request.selection.service);
 }
--- a/src/routing/placement_queue.h
+++ b/src/routing/placement_queue.h
@@ -47,7 +47,7 @@
   Duration first_event{0};   ///< Typical time from slot to first event; 0: unknown.
   TimePoint latest_start{};  ///< Latest start at which the caller is still there; zero: unbounded.
   /// Among requests of equal rank, callers that return after a rejection precede newcomers.
-  AdmissionClass standing = AdmissionClass::kNewRequest;
+  AdmissionClass admission_class = AdmissionClass::kNewRequest;
   /// Returns whether a change of circumstances has made the placement pointless; null: never.
   std::function<bool()> is_obsolete;
 };
--- a/src/routing/placement_queue_views.cc
+++ b/src/routing/placement_queue_views.cc
@@ -114,7 +114,7 @@
     ServiceWait& wait = waits[request.selection.service];
     ++wait.waiting;
     wait.in_time += can_be_in_time(request, now) ? 1 : 0;
-    wait.returned += request.standing == AdmissionClass::kBookedRetry ? 1 : 0;
+    wait.returned += request.admission_class == AdmissionClass::kBookedRetry ? 1 : 0;
     wait.oldest = std::max(wait.oldest, now - request.arrival);
   }
   return waits;
--- a/tests/admission/admission_simulation.h
+++ b/tests/admission/admission_simulation.h
@@ -118,14 +118,14 @@
     TimePoint attempt{};
     bool is_retry = false;
     bool counted = false;
-    AdmissionClass standing = AdmissionClass::kNewRequest;
+    AdmissionClass admission_class = AdmissionClass::kNewRequest;
     TimePoint rejection_certain_since{};
     [[nodiscard]] TimePoint due() const { return attempt + kObjective - kFirstEvent; }
     [[nodiscard]] TimePoint latest_start() const { return attempt + kPatience - kFirstEvent; }
   };
   struct Node {
     ZoneBacklog backlog;
-    RetryBookings returning;
+    RetryBookings retry_bookings;
     std::vector<Caller> waiting;
     TimePoint above_since{};  ///< Records when rejections become certain between two reviews.
     TimePoint next_drop{};
@@ -146,7 +146,7 @@
   void restart() {
     for (Node& node : nodes_) {
       node.backlog = ZoneBacklog{};
-      node.returning = RetryBookings{};
+      node.retry_bookings = RetryBookings{};
     }
     ++incarnation_;
   }
@@ -174,8 +174,8 @@
   void enter(Caller caller) {
     ++all_arrivals_[static_cast<std::size_t>(seconds_)];
     Node& node = nodes_[random_.below(nodes_.size())];
-    if (node.returning.consume(caller.content, now_)) {
-      caller.standing = AdmissionClass::kBookedRetry;
+    if (node.retry_bookings.consume(caller.content, now_)) {
+      caller.admission_class = AdmissionClass::kBookedRetry;
     } else {
       node.backlog.record_arrival(kService, 0, now_);
     }
@@ -192,8 +192,8 @@
                      [this](const Caller& left, const Caller& right) {
                        if (scenario_.strategy == Strategy::kNewestFirst)
                          return left.attempt > right.attempt;
-                       const bool left_new = left.standing == AdmissionClass::kNewRequest;
-                       const bool right_new = right.standing == AdmissionClass::kNewRequest;
+                       const bool left_new = left.admission_class == AdmissionClass::kNewRequest;
+                       const bool right_new = right.admission_class == AdmissionClass::kNewRequest;
                        if (left_new != right_new) return right_new;
                        return left.attempt < right.attempt;
                      });
@@ -206,9 +206,9 @@
       if (other.content == caller.content) before = false;
       if (now_ >= other.due()) continue;
       position.all += {1, scenario_.slot_time};
-      const bool newcomer_waits = caller.standing == AdmissionClass::kBookedRetry &&
-                                  other.standing == AdmissionClass::kNewRequest;
-      if (before && other.content != caller.content && !newcomer_waits) {
+      const bool new_request_waits = caller.admission_class == AdmissionClass::kBookedRetry &&
+                                     other.admission_class == AdmissionClass::kNewRequest;
+      if (before && other.content != caller.content && !new_request_waits) {
         position.ahead += {1, scenario_.slot_time};
       }
     }
@@ -219,7 +219,7 @@
   }
   [[nodiscard]] AdmissionInput input_for(Node& node, const Caller& caller,
                                          const QueuePosition& place) {
-    AdmissionInput input{.admission_class = caller.standing,
+    AdmissionInput input{.admission_class = caller.admission_class,
                          .arrival = caller.attempt,
                          .due = caller.due(),
                          .latest_start = caller.latest_start(),
@@ -239,7 +239,7 @@
          .wait = input.forecast ? input.forecast->wait : Duration{0},
          .slots_freed_per_second = slots_freed_per_second(statistics, scenario_.slots),
          .forecaster = forecaster},
-        node.returning, random_);
+        node.retry_bookings, random_);
     if (retry_) input.retry_after = retry_->delay;
     return input;
   }
@@ -272,7 +272,7 @@
     // last 100 ms.
     if (!caller.is_retry) {
       if (scenario_.strategy == Strategy::kPredictedWait && retry_ && retry_->has_booking) {
-        node.returning.book(caller.content, kService, now_ + *retry_after, now_);
+        node.retry_bookings.book(caller.content, kService, now_ + *retry_after, now_);
       }
       const Duration default_delay = 50 * kMs + scale(300 * kMs, random_.unit());
       retries_.emplace(now_ + retry_after.value_or(default_delay) + 6 * kMs, caller);
@@ -349,7 +349,7 @@
   /// Gives free slots to nodes in proportion to their waiting requests of the best rank.
   [[nodiscard]] int rank(const Caller& caller) const {
     if (now_ >= caller.due()) return 2;
-    return caller.standing == AdmissionClass::kBookedRetry ? 0 : 1;
+    return caller.admission_class == AdmissionClass::kBookedRetry ? 0 : 1;
   }
   /// Returns whether a slot is free or a batch item can be preempted; each runner preempts one item
   /// at a time.
@@ -422,7 +422,7 @@
       }
       Message message{now_ + scenario_.message_delay, from,
                       node.backlog.report({{{kService, 0}, waiting}}),
-                      node.returning.report(16, now_)};
+                      node.retry_bookings.report(16, now_)};
       if (scenario_.duplicate_messages) messages_.push_back(message);
       messages_.push_back(std::move(message));
     }
@@ -436,7 +436,7 @@
         if (to == message.from || cut || network_random_.unit() < scenario_.message_loss) continue;
         nodes_[to].backlog.apply_report(message.from + 1000 * incarnation_, message.backlogs, now_);
         for (const RetryBookingReport& entry : message.returns) {
-          nodes_[to].returning.apply_report(entry, now_);
+          nodes_[to].retry_bookings.apply_report(entry, now_);
         }
       }
     }
--- a/tests/admission/fair_share_strategies.h
+++ b/tests/admission/fair_share_strategies.h
@@ -44,12 +44,12 @@
     ledger_.set_weights(std::move(weights));
   }
   double add_and_rank(const FairShareRequest& request, TimePoint now) override {
-    return turns_.add_and_rank(request, now);
+    return ranker_.add_and_rank(request, now);
   }
   void on_placed(const FairShareRequest& request, double, TimePoint now) override {
-    turns_.on_placed(request, now);
+    ranker_.on_placed(request, now);
   }
-  void on_unplaced(const FairShareRequest& request) override { turns_.on_unplaced(request); }
+  void on_unplaced(const FairShareRequest& request) override { ranker_.on_unplaced(request); }
   std::vector<SlotTimeReport> report(TimePoint now) override {
     constexpr std::size_t kMaxInDigest = 16;
     if (!reports_) return {};
@@ -63,7 +63,7 @@
  private:
   bool reports_;
   SlotTimeLedger ledger_;
-  FairShareRanker turns_{ledger_};
+  FairShareRanker ranker_{ledger_};
 };
 
 /// @param weights by tenant; all others have weight 1.
--- a/tests/gateway/fair_shares_test.cc
+++ b/tests/gateway/fair_shares_test.cc
@@ -22,7 +22,7 @@
     configuration.tenants = TenantDirectory(
         {{"alder", {"a"}, {}, {10, 5}}, {"birch", {"b"}, {}, {30, 5}}, {"cedar", {"c"}, {}, {}}});
     shares.configure(configuration);
-    shares.register_with(decisions);
+    shares.register_with(placement_policy);
   }
   static Route route(const std::string& name, std::uint32_t priority, RouteKind kind) {
     Route result;
@@ -44,37 +44,37 @@
   }
   void serve(const std::string& tenant, int count) {
     for (int i = 0; i < count; ++i) {
-      decisions.fair_share_rank(request(tenant), now);
-      decisions.on_placed(request(tenant), now);
+      placement_policy.fair_share_rank(request(tenant), now);
+      placement_policy.on_placed(request(tenant), now);
     }
   }
-  double turn(const std::string& tenant) {
-    const double result = decisions.fair_share_rank(request(tenant), now);
-    decisions.on_unplaced(request(tenant), now);
+  double rank_of(const std::string& tenant) {
+    const double result = placement_policy.fair_share_rank(request(tenant), now);
+    placement_policy.on_unplaced(request(tenant), now);
     return result;
   }
 
   TimePoint now{seconds(100)};
   LoadPolicy policy;
   FairShares shares{policy};
-  PlacementPolicy decisions;
+  PlacementPolicy placement_policy;
 };
 
 TEST_F(FairSharesTest, WeighsTenantsByTheirRateLimits) {
   serve("alder", 20);
   serve("birch", 60);
-  EXPECT_EQ(turn("alder"), 0);
-  EXPECT_EQ(turn("birch"), 0);
+  EXPECT_EQ(rank_of("alder"), 0);
+  EXPECT_EQ(rank_of("birch"), 0);
   serve("alder", 60);
-  EXPECT_GE(turn("alder"), 1);
-  EXPECT_EQ(turn("birch"), 0);
+  EXPECT_GE(rank_of("alder"), 1);
+  EXPECT_EQ(rank_of("birch"), 0);
 }
 
 TEST_F(FairSharesTest, WithoutThePolicyTurnsAreEqualAndNothingIsReported) {
   policy.uses_fair_shares = false;
   serve("alder", 60);
   serve("birch", 1);
-  EXPECT_EQ(turn("alder"), 0);
+  EXPECT_EQ(rank_of("alder"), 0);
   LoadDigest digest;
   shares.add_to_digest(digest, true, now);
   EXPECT_TRUE(digest.share_uses.empty());
@@ -83,16 +83,16 @@
 TEST_F(FairSharesTest, OnlyOnlineWorkOfTheLowestPriorityYieldsToOtherNodes) {
   PlacementRequest above = request("alder", 1);
   above.fair_share_rank = 3;
-  EXPECT_TRUE(decisions.yields_to_peers(above));
+  EXPECT_TRUE(placement_policy.yields_to_peers(above));
   above.priority = 0;
-  EXPECT_FALSE(decisions.yields_to_peers(above));
+  EXPECT_FALSE(placement_policy.yields_to_peers(above));
   PlacementRequest within = request("alder", 1);
   within.fair_share_rank = 0.3;
-  EXPECT_FALSE(decisions.yields_to_peers(within));
+  EXPECT_FALSE(placement_policy.yields_to_peers(within));
   PlacementRequest batch = above;
   batch.work = WorkClass::kBatch;
   batch.priority = 2;
-  EXPECT_FALSE(decisions.yields_to_peers(batch));
+  EXPECT_FALSE(placement_policy.yields_to_peers(batch));
 }
 
 TEST_F(FairSharesTest, CountsUsageReportedByOtherNodes) {
@@ -112,22 +112,22 @@
   for (int i = 0; i < 60; ++i) other_decisions.on_placed(request("alder"), now);
   other.add_to_digest(digest, true, now);
   shares.apply_digest(digest, now);
-  EXPECT_GE(turn("alder"), 1);
-  EXPECT_EQ(turn("birch"), 0);
+  EXPECT_GE(rank_of("alder"), 1);
+  EXPECT_EQ(rank_of("birch"), 0);
 }
 
 TEST_F(FairSharesTest, BatchAndOnlineWorkHaveSeparateShares) {
   PlacementRequest item = request("alder");
   item.work = WorkClass::kBatch;
   item.slot_time = seconds(5);
-  for (int i = 0; i < 60; ++i) decisions.on_placed(item, now);
+  for (int i = 0; i < 60; ++i) placement_policy.on_placed(item, now);
   serve("birch", 5);
-  EXPECT_EQ(turn("alder"), 0);
+  EXPECT_EQ(rank_of("alder"), 0);
 }
 
 TEST_F(FairSharesTest, MetricsShowWaitingAndGrantedSlotTime) {
   serve("alder", 2);
-  decisions.fair_share_rank(request("alder"), now);
+  placement_policy.fair_share_rank(request("alder"), now);
   const auto rows = shares.tenant_rows(now);
   ASSERT_EQ(rows.size(), 1U);
   EXPECT_EQ(rows[0].tenant, "alder");
@@ -143,9 +143,9 @@
 
 TEST_F(FairSharesTest, CountsKindsByTheOutcomeOfTheirWaits) {
   serve("alder", 2);
-  decisions.on_unplaced(request("alder"), now);
-  ASSERT_EQ(shares.kinds().classes().size(), 1U);
-  const auto& counts = shares.kinds().classes().begin()->second;
+  placement_policy.on_unplaced(request("alder"), now);
+  ASSERT_EQ(shares.inversion_monitor().classes().size(), 1U);
+  const auto& counts = shares.inversion_monitor().classes().begin()->second;
   EXPECT_EQ(counts.total, (std::array<std::uint64_t, 3>{2, 0, 1}));
 }
 
--- a/tests/routing/batch_replay.cc
+++ b/tests/routing/batch_replay.cc
@@ -87,8 +87,8 @@
   std::vector<std::uint8_t> use;
   std::vector<std::size_t> waiting;
   std::deque<Snapshot> snapshots;
-  std::unique_ptr<BatchArbiter> turns;
-  BatchQueueDepth announced{.service = kService};  ///< Waiting items reported to `turns`.
+  std::unique_ptr<BatchArbiter> arbiter;
+  BatchQueueDepth announced{.service = kService};  ///< Waiting items reported to `arbiter`.
   double window = -1;
   double budget = 0;
   std::vector<std::uint8_t> begun_remote;
@@ -106,8 +106,8 @@
       node.zone = i % kZones;
       node.interval = scenario.half_slow_nodes && (i / kZones) % 2 == 0 ? 0.1 : 0.005;
       node.next = random_.unit() * node.interval;
-      node.turns = std::make_unique<BatchArbiter>();
-      node.turns->set_self(i + 1);
+      node.arbiter = std::make_unique<BatchArbiter>();
+      node.arbiter->set_self(i + 1);
       nodes_.push_back(std::move(node));
     }
     for (auto& node : nodes_) {
@@ -394,7 +394,7 @@
       if (snapshot == nullptr) continue;
       for (std::size_t r = node.zone; r < runners_.size(); r += kZones) load[r] += snapshot->use[r];
       const std::size_t items = snapshot->waiting.in_time + std::size_t{snapshot->waiting.late};
-      node.turns->apply_report(
+      node.arbiter->apply_report(
           i + 1, items > 0 ? std::vector{snapshot->waiting} : std::vector<BatchQueueDepth>{},
           at(snapshot->time));
       others_waiting_ += items;
@@ -414,8 +414,8 @@
 
   static void update_announced(Node& node, std::uint16_t& announced, std::uint16_t wanted,
                                ItemUrgency urgency) {
-    for (; announced < wanted; ++announced) node.turns->begin_wait(kService, urgency);
-    for (; announced > wanted; --announced) node.turns->end_wait(kService, urgency);
+    for (; announced < wanted; ++announced) node.arbiter->begin_wait(kService, urgency);
+    for (; announced > wanted; --announced) node.arbiter->end_wait(kService, urgency);
   }
 
   bool is_silent(std::size_t self) const {
@@ -493,10 +493,10 @@
     std::vector<std::size_t> candidates;
     for (std::size_t r = node.zone; r < runners_.size(); r += kZones) {
       if (load[r] / kSlots >= limit(node.zone)) {
-        node.turns->record_no_free_slot(r + 1);
+        node.arbiter->record_no_free_slot(r + 1);
         continue;
       }
-      if (is_arbitrated() && !node.turns->may_use_runner(kService, urgency_, r + 1, at(now_)))
+      if (is_arbitrated() && !node.arbiter->may_use_runner(kService, urgency_, r + 1, at(now_)))
         continue;
       candidates.push_back(r);
     }
@@ -520,7 +520,7 @@
       if (runners_[r].zone == node.zone) continue;
       const double load = (reported_loads_[r] + node.begun_remote[r]) / kSlots;
       if (load >= std::min(kRemoteLimit, limit(node.zone))) continue;
-      if (is_arbitrated() && !node.turns->is_first_in_order(kService, urgency_, r + 1, at(now_)))
+      if (is_arbitrated() && !node.arbiter->is_first_in_order(kService, urgency_, r + 1, at(now_)))
         continue;
       candidates.push_back(r);
     }
--- a/tests/routing/placement_queue_test.cc
+++ b/tests/routing/placement_queue_test.cc
@@ -204,7 +204,7 @@
   PlacementRequest request = make_request(WorkClass::kOnline, 1);
   request.due = monotonic_now() + std::chrono::seconds(20);
   wait("newcomer", request);
-  request.standing = AdmissionClass::kBookedRetry;
+  request.admission_class = AdmissionClass::kBookedRetry;
   wait("returned", request);
   const auto demand = queue.online_demand();
   ASSERT_EQ(demand.size(), 1U);
--- a/tests/routing/runner_selector_test.cc
+++ b/tests/routing/runner_selector_test.cc
@@ -72,12 +72,12 @@
 // Guards against all nodes of a zone placing batch items in the same free slots.
 TEST_F(RunnerSelectorTest, BatchUsesOnlyRunnersAssignedToThisNode) {
   for (int i = 0; i < 20; ++i) add("n" + std::to_string(i), "near");
-  BatchArbiter turns;
-  turns.set_self(1);
+  BatchArbiter arbiter;
+  arbiter.set_self(1);
   const std::uint64_t service = stable_hash("chat");
-  turns.begin_wait(service, ItemUrgency::kInTime);
-  turns.apply_report(2, {{.service = service, .in_time = 1}}, kNow);
-  request.batch_arbiter = &turns;
+  arbiter.begin_wait(service, ItemUrgency::kInTime);
+  arbiter.apply_report(2, {{.service = service, .in_time = 1}}, kNow);
+  request.batch_arbiter = &arbiter;
   request.load_limit = 0.85;
   std::set<std::string> taken;
   for (std::string id = chosen(request); !id.empty(); id = chosen(request)) {
@@ -86,7 +86,7 @@
     taken.insert(id);
   }
   for (const auto& id : taken) {
-    EXPECT_TRUE(turns.is_first_in_order(service, ItemUrgency::kInTime, runner(id)->hash(), kNow));
+    EXPECT_TRUE(arbiter.is_first_in_order(service, ItemUrgency::kInTime, runner(id)->hash(), kNow));
   }
   EXPECT_GT(taken.size(), 0U);
   EXPECT_LT(taken.size(), 20U);
